--- a/core/config/workspaces.c
+++ b/core/config/workspaces.c
@@ -59,7 +59,7 @@
 bool
 mt_workspaces_add (struct mt_workspaces *list,
                    const char *name,
-                   const struct mt_room *quota,
+                   const struct mt_resources *quota,
                    int64_t rate,
                    GError **error)
 {
--- a/core/controller/controller_internal.h
+++ b/core/controller/controller_internal.h
@@ -52,7 +52,7 @@
   bool home_stored;
   bool up;
   bool listed;
-  struct mt_room room;
+  struct mt_resources room;
 
   bool viewed; /* the scheduler sees its worker, as follows */
   struct mt_worker_view view;
--- a/core/controller/controller_moves.c
+++ b/core/controller/controller_moves.c
@@ -80,8 +80,8 @@
 static bool
 is_emptier (const struct mt_controller_machine *a, const struct mt_controller_machine *b)
 {
-  if (a->view.free_ms != b->view.free_ms)
-    return a->view.free_ms < b->view.free_ms;
+  if (a->view.batch_remaining_ms != b->view.batch_remaining_ms)
+    return a->view.batch_remaining_ms < b->view.batch_remaining_ms;
   return a->view.tasks < b->view.tasks;
 }
 
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -64,7 +64,7 @@
   if (starved)
     hasty = CLAMP (ARRIVING_FACTOR * (double) load->arriving_cpu,
                    STARVED_HASTE * (double) load->demand_cpu, hasty);
-  return load->urgent == 0 ? MIN (hasty, (double) load->soon_cpu * NEXT_STEP) : hasty;
+  return load->urgent == 0 ? MIN (hasty, (double) load->upcoming_cpu * NEXT_STEP) : hasty;
 }
 
 static void
@@ -118,7 +118,7 @@
 static unsigned
 ask_pinned (const struct mt_controller_pool *p)
 {
-  return MAX (p->load.stranded > 0 && p->coming == 0 ? p->have + 1 : p->pinned, 1U);
+  return MAX (p->load.unplaceable > 0 && p->coming == 0 ? p->have + 1 : p->pinned, 1U);
 }
 
 static unsigned
@@ -144,7 +144,7 @@
 static unsigned
 ask_late (const struct mt_controller_pool *p)
 {
-  return p->hasty.machines + machines_for (p, (double) p->load.late_cpu);
+  return p->hasty.machines + machines_for (p, (double) p->load.overdue_cpu);
 }
 
 static const struct tier
--- a/core/controller/controller_waves.c
+++ b/core/controller/controller_waves.c
@@ -56,7 +56,7 @@
 static double
 share_used (const struct mt_worker_view *v)
 {
-  return v->room.cpu > 0 ? (double) v->used.cpu / (double) v->room.cpu : 1;
+  return v->resources.cpu > 0 ? (double) v->used.cpu / (double) v->resources.cpu : 1;
 }
 
 static bool
--- a/core/controller/grants.c
+++ b/core/controller/grants.c
@@ -21,11 +21,11 @@
 /* One pool's share of one workspace's quota. */
 struct share
 {
-  struct mt_room used;
-  struct mt_room waiting;
-  struct mt_room largest; /* task that waits */
-  struct mt_room acked;   /* granted, as far as the pool has acknowledged */
-  struct mt_room sent;
+  struct mt_resources used;
+  struct mt_resources waiting;
+  struct mt_resources largest; /* task that waits */
+  struct mt_resources acked;   /* granted, as far as the pool has acknowledged */
+  struct mt_resources sent;
   uint64_t sent_number; /* of the message that granted it; 0 for none */
   bool is_acked;
   bool has_grant; /* the pool's present leader has received one */
@@ -45,7 +45,7 @@
   int64_t token;
   int64_t created;
   char **names; /* of workspaces */
-  struct mt_room *quotas;
+  struct mt_resources *quotas;
   unsigned n_workspaces;
   struct pool *pools;
   unsigned n_pools;
@@ -132,7 +132,7 @@
   unsigned n = workspaces != NULL ? mt_workspaces_count (workspaces) : 0;
   unsigned n_pools = g_strv_length ((char **) pools);
   char **names = g_new0 (char *, n + 1);
-  struct mt_room *quotas = g_new0 (struct mt_room, n + 1);
+  struct mt_resources *quotas = g_new0 (struct mt_resources, n + 1);
   struct pool *next = g_new0 (struct pool, n_pools + 1);
 
   for (unsigned i = 0; i < n; i++)
@@ -172,9 +172,9 @@
 }
 
 static int64_t
-figure (const struct ledger *l, const struct mt_room *room)
+figure (const struct ledger *l, const struct mt_resources *room)
 {
-  return mt_room_get (room, l->part);
+  return mt_resources_get (room, l->part);
 }
 
 static bool
@@ -288,26 +288,26 @@
              unsigned workspace,
              unsigned pool,
              int64_t now,
-             struct mt_room *out)
+             struct mt_resources *out)
 {
   const struct share *share = &grants->pools[pool].shares[workspace];
   bool changed = false;
 
   *out = share->is_acked ? share->acked : share->sent;
-  for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
+  for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
     {
       struct ledger l = { .grants = grants,
                           .workspace = workspace,
                           .part = i,
-                          .quota = mt_room_get (&grants->quotas[workspace], i),
+                          .quota = mt_resources_get (&grants->quotas[workspace], i),
                           .n_pools = MAX (grants->n_pools, 1U),
                           .now = now };
 
       if (l.quota == 0)
         continue;
-      *mt_room_part (out, i) = target_share (&l, pool);
-      changed |= mt_room_get (out, i) != mt_room_get (&share->acked, i)
-                 || mt_room_get (out, i) != mt_room_get (&share->sent, i);
+      *mt_resources_field (out, i) = target_share (&l, pool);
+      changed |= mt_resources_get (out, i) != mt_resources_get (&share->acked, i)
+                 || mt_resources_get (out, i) != mt_resources_get (&share->sent, i);
     }
   return changed;
 }
@@ -333,7 +333,7 @@
 
   if (pool == NULL)
     return out;
-  out.number = ++pool->number;
+  out.sequence = ++pool->number;
   out.all = !pool->heard;
   rows = g_new0 (struct mt_grant, grants->n_workspaces + 1);
   out.grants = rows;
@@ -342,18 +342,18 @@
   for (unsigned i = 0; i < grants->n_workspaces; i++)
     {
       struct share *share = &pool->shares[i];
-      struct mt_room room;
+      struct mt_resources room;
 
       if (!target_room (grants, i, (unsigned) (pool - grants->pools), now, &room) && share->is_acked
           && share->has_grant)
         continue;
       rows[out.n_grants++] = (struct mt_grant){ grants->names[i], room };
       /* An earlier grant without an acknowledgement may be in force: the higher one counts. */
-      for (unsigned k = 0; !share->is_acked && k < MT_ROOM_PARTS; k++)
-        *mt_room_part (&share->acked, k)
-            = MAX (mt_room_get (&share->acked, k), mt_room_get (&share->sent, k));
+      for (unsigned k = 0; !share->is_acked && k < MT_RESOURCE_KINDS; k++)
+        *mt_resources_field (&share->acked, k)
+            = MAX (mt_resources_get (&share->acked, k), mt_resources_get (&share->sent, k));
       share->sent = room;
-      share->sent_number = out.number;
+      share->sent_number = out.sequence;
       share->is_acked = false;
     }
   return out;
@@ -385,7 +385,7 @@
   for (unsigned i = 0; i < grants->n_workspaces; i++)
     {
       pool->shares[i].used = pool->shares[i].waiting = pool->shares[i].largest
-          = (struct mt_room){ 0 };
+          = (struct mt_resources){ 0 };
       acknowledge (&pool->shares[i], number);
       pool->shares[i].has_grant = true;
     }
@@ -397,7 +397,7 @@
         continue;
       share->used = views[i].used;
       share->waiting = views[i].waiting;
-      share->largest = views[i].largest;
+      share->largest = views[i].largest_waiting;
       share->has_grant = views[i].has_grant;
       if (share->sent_number <= number)
         {
--- a/core/scheduler/admission.c
+++ b/core/scheduler/admission.c
@@ -29,7 +29,7 @@
 }
 
 void
-mt_admission_stored (struct mt_admission *admission, int64_t took_ms)
+mt_admission_record_batch (struct mt_admission *admission, int64_t took_ms)
 {
   double weight = admission->batch_ms == 0 ? 1 : BATCH_WEIGHT;
 
@@ -39,7 +39,7 @@
 int64_t
 mt_admission_wait_ms (const struct mt_admission *admission, unsigned waiting)
 {
-  unsigned per_round = admission->settings.per_batch * admission->settings.at_a_time;
+  unsigned per_round = admission->settings.batch_size * admission->settings.parallel_writes;
   unsigned rounds = 1 + waiting / per_round;
 
   return (int64_t) (admission->batch_ms * rounds);
@@ -49,7 +49,7 @@
 mt_admission_admits (const struct mt_admission *admission, unsigned waiting)
 {
   return waiting == 0
-         || mt_admission_wait_ms (admission, waiting) <= admission->settings.patience_ms;
+         || mt_admission_wait_ms (admission, waiting) <= admission->settings.max_wait_ms;
 }
 
 unsigned
--- a/core/scheduler/leader_rank.c
+++ b/core/scheduler/leader_rank.c
@@ -52,9 +52,9 @@
 }
 
 bool
-mt_leader_may_take (const struct mt_leader_turn *turn, int64_t now)
+mt_leader_may_acquire (const struct mt_leader_candidacy *turn, int64_t now)
 {
   int64_t from = MAX (turn->free_since, turn->joined_at + SETTLE_MS);
 
-  return turn->had || now - from >= RANK_MS * (int64_t) turn->rank;
+  return turn->was_leader || now - from >= RANK_MS * (int64_t) turn->rank;
 }
--- a/core/scheduler/scheduler.c
+++ b/core/scheduler/scheduler.c
@@ -13,7 +13,7 @@
 };
 
 void
-mt_scheduler_tell (struct mt_scheduler *sched, const char *name, const char *format, ...)
+mt_scheduler_log_event (struct mt_scheduler *sched, const char *name, const char *format, ...)
 {
   char detail[512];
   va_list args;
@@ -27,12 +27,12 @@
 }
 
 void
-mt_task_tell (struct mt_scheduler *sched,
-              const struct mt_task *task,
-              const struct mt_worker *w,
-              const char *name,
-              const char *format,
-              ...)
+mt_task_log_event (struct mt_scheduler *sched,
+                   const struct mt_task *task,
+                   const struct mt_worker *w,
+                   const char *name,
+                   const char *format,
+                   ...)
 {
   char detail[256];
   va_list args;
@@ -40,12 +40,13 @@
   va_start (args, format);
   g_vsnprintf (detail, sizeof detail, format, args);
   va_end (args);
-  mt_scheduler_tell (sched, name, "id=%s step=%u index=%u run=%u worker=%s %s",
-                     task->occ->job->spec->id, task->step, task->index, task->run, w->id, detail);
+  mt_scheduler_log_event (sched, name, "id=%s step=%u index=%u run=%u worker=%s %s",
+                          task->occ->job->spec->id, task->step, task->index, task->run, w->id,
+                          detail);
 }
 
 enum mt_job_state
-mt_job_state_read (struct mt_str name)
+mt_job_state_parse (struct mt_str name)
 {
   for (int i = 0; i < MT_JOB_UNKNOWN; i++)
     if (mt_str_equal (name, mt_str_from (mt_job_state_names[i])))
@@ -60,7 +61,9 @@
 }
 
 void
-mt_scheduler_on_told (struct mt_scheduler *sched, mt_scheduler_told told, void *ctx)
+mt_scheduler_set_event_callback (struct mt_scheduler *sched,
+                                 mt_scheduler_event_callback told,
+                                 void *ctx)
 {
   sched->told = told;
   sched->told_ctx = ctx;
@@ -127,7 +130,7 @@
 static void
 free_advice (void *data)
 {
-  struct mt_advice *advice = data;
+  struct mt_step_tickets *advice = data;
 
   g_hash_table_unref (advice->tickets);
   g_free (advice->step_name);
@@ -191,7 +194,7 @@
     return route;
   route = g_new0 (struct mt_route, 1);
   route->name = g_strdup (name);
-  route->terms = (struct mt_route_terms){ .max_attempts = 1, .stretch = 1 };
+  route->terms = (struct mt_route_policy){ .max_attempts = 1, .stretch = 1 };
   g_hash_table_insert (sched->routes, route->name, route);
   return route;
 }
@@ -199,19 +202,19 @@
 void
 mt_scheduler_set_route (struct mt_scheduler *sched,
                         const char *name,
-                        const struct mt_route_terms *terms)
+                        const struct mt_route_policy *terms)
 {
   get_route (sched, name)->terms = *terms;
 }
 
 void
-mt_scheduler_set_advice (struct mt_scheduler *sched, const char *name, bool wanted)
+mt_scheduler_require_tickets (struct mt_scheduler *sched, const char *name, bool wanted)
 {
   get_route (sched, name)->advice = wanted;
 }
 
 void
-mt_job_mark (struct mt_scheduler *sched, struct mt_job *job)
+mt_job_mark_dirty (struct mt_scheduler *sched, struct mt_job *job)
 {
   job->dirty = true;
   sched->changed = true;
@@ -222,7 +225,7 @@
 }
 
 void
-mt_job_begin (struct mt_job *job)
+mt_job_mark_begun (struct mt_job *job)
 {
   if (job->begun)
     return;
@@ -234,7 +237,7 @@
 /* ---- occurrences ---- */
 
 struct mt_occurrence *
-mt_job_occurrence (struct mt_job *job, unsigned number)
+mt_job_get_occurrence (struct mt_job *job, unsigned number)
 {
   const struct mt_job_spec *spec = job->spec;
   struct mt_occurrence *occ = job->occurrences[number];
@@ -270,7 +273,7 @@
 static void
 open_occurrence (struct mt_job *job, unsigned number, int64_t since)
 {
-  struct mt_occurrence *occ = mt_job_occurrence (job, number);
+  struct mt_occurrence *occ = mt_job_get_occurrence (job, number);
 
   occ->since = since;
   mt_occurrence_set_objective (occ);
@@ -278,7 +281,7 @@
 
 /* Timed occurrences that have come due. A jump of the wall clock is the owner's to smooth. */
 void
-mt_job_open_due (struct mt_scheduler *sched, int64_t now, int64_t wall)
+mt_scheduler_open_due_occurrences (struct mt_scheduler *sched, int64_t now, int64_t wall)
 {
   for (GList *l = sched->open.head; l != NULL; l = l->next)
     {
@@ -303,7 +306,7 @@
 /* ---- jobs ---- */
 
 bool
-mt_scheduler_knows (const struct mt_scheduler *sched, const char *id)
+mt_scheduler_has_job (const struct mt_scheduler *sched, const char *id)
 {
   return g_hash_table_contains (sched->jobs, id);
 }
@@ -317,7 +320,7 @@
   struct mt_job *job;
   int64_t age = CLAMP (wall - spec->accepted_ms, 0, 3600 * 1000);
 
-  if (mt_scheduler_knows (sched, spec->id))
+  if (mt_scheduler_has_job (sched, spec->id))
     {
       mt_job_spec_destroy (spec);
       return false;
@@ -332,13 +335,13 @@
   job->link.data = job;
   g_hash_table_insert (sched->jobs, spec->id, job);
   g_queue_push_tail_link (&sched->open, &job->link);
-  job->excess = age < FRESH_MS && mt_account_count_job (job->account, now);
+  job->excess = age < FRESH_MS && mt_account_record_job (job->account, now);
   if (spec->repeats == 0)
     {
       open_occurrence (job, 0, job->submitted);
       job->route->pending++;
       if (age < FRESH_MS)
-        mt_route_count_arrival (job, now);
+        mt_route_record_arrival (job, now);
     }
   sched->changed = true;
   return true;
@@ -363,11 +366,12 @@
 
   if (occ != NULL && occ->short_since != 0)
     short_ms += now - occ->short_since;
-  mt_scheduler_tell (sched, "JOB_ENDED",
-                     "id=%s route=%s state=%s age_ms=%" G_GINT64_FORMAT
-                     " objective_ms=%" G_GINT64_FORMAT " no_room_ms=%" G_GINT64_FORMAT " reruns=%u",
-                     job->spec->id, job->route->name, mt_job_state_names[job->state],
-                     now - job->submitted, allowed, short_ms, occ != NULL ? occ->reruns : 0);
+  mt_scheduler_log_event (sched, "JOB_ENDED",
+                          "id=%s route=%s state=%s age_ms=%" G_GINT64_FORMAT
+                          " objective_ms=%" G_GINT64_FORMAT " no_room_ms=%" G_GINT64_FORMAT
+                          " reruns=%u",
+                          job->spec->id, job->route->name, mt_job_state_names[job->state],
+                          now - job->submitted, allowed, short_ms, occ != NULL ? occ->reruns : 0);
 }
 
 void
@@ -381,13 +385,13 @@
   job->ended_at = now;
   g_queue_unlink (&sched->open, &job->link);
   g_queue_push_tail_link (&sched->closed, &job->link);
-  mt_job_mark (sched, job);
+  mt_job_mark_dirty (sched, job);
   mt_job_stop_tasks (sched, job, now);
   tell_end (sched, job, now);
 }
 
 void
-mt_job_check_end (struct mt_scheduler *sched, struct mt_job *job, int64_t now)
+mt_job_complete_if_done (struct mt_scheduler *sched, struct mt_job *job, int64_t now)
 {
   unsigned ended = 0;
 
@@ -420,7 +424,7 @@
 }
 
 const char *
-mt_scheduler_workspace (const struct mt_scheduler *sched, const char *id)
+mt_scheduler_job_workspace (const struct mt_scheduler *sched, const char *id)
 {
   const struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
 
@@ -430,7 +434,7 @@
 }
 
 enum mt_job_state
-mt_scheduler_state (const struct mt_scheduler *sched, const char *id)
+mt_scheduler_job_state (const struct mt_scheduler *sched, const char *id)
 {
   const struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
 
@@ -442,7 +446,7 @@
 }
 
 unsigned
-mt_scheduler_pending (const struct mt_scheduler *sched, const char *name)
+mt_scheduler_pending_jobs (const struct mt_scheduler *sched, const char *name)
 {
   const struct mt_route *route = g_hash_table_lookup (sched->routes, name);
 
--- a/core/scheduler/scheduler_accounts.c
+++ b/core/scheduler/scheduler_accounts.c
@@ -41,11 +41,11 @@
 
 /* All pools shrink their shares alike, whether or not the fleet's leader reaches them. */
 static void
-shrink_share (struct mt_account *account, const struct mt_room *quota, unsigned i)
+shrink_share (struct mt_account *account, const struct mt_resources *quota, unsigned i)
 {
-  int64_t before = mt_room_get (&account->terms.quota, i);
-  int64_t after = mt_room_get (quota, i);
-  int64_t *granted = mt_room_part (&account->granted, i);
+  int64_t before = mt_resources_get (&account->terms.quota, i);
+  int64_t after = mt_resources_get (quota, i);
+  int64_t *granted = mt_resources_field (&account->granted, i);
 
   if (after > 0 && after < before)
     *granted = (int64_t) ((double) *granted * (double) after / (double) before);
@@ -54,31 +54,31 @@
 void
 mt_scheduler_set_workspace (struct mt_scheduler *sched,
                             const char *name,
-                            const struct mt_workspace_terms *terms)
+                            const struct mt_workspace_limits *terms)
 {
   struct mt_account *account = mt_scheduler_account (sched, name);
 
   if (account == NULL)
     return;
-  for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
+  for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
     shrink_share (account, &terms->quota, i);
   account->terms = *terms;
   sched->changed = true;
 }
 
 void
-mt_account_count (struct mt_account *account, const struct mt_step *step, int sign)
+mt_account_add_usage (struct mt_account *account, const struct mt_step *step, int sign)
 {
   if (account == NULL)
     return;
-  for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
-    *mt_room_part (&account->used, i) += sign * mt_room_get (&step->need, i);
+  for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
+    *mt_resources_field (&account->used, i) += sign * mt_resources_get (&step->need, i);
 }
 
 /* A pool sees its own jobs only, so it lets pass what a workspace sends beyond its rate to several
  * at once; a surge comes to one at a time. */
 bool
-mt_account_count_job (struct mt_account *account, int64_t now)
+mt_account_record_job (struct mt_account *account, int64_t now)
 {
   double rate;
 
@@ -97,7 +97,7 @@
 static int64_t
 even_share (const struct mt_account *account, unsigned i)
 {
-  return mt_room_get (&account->terms.quota, i) / MAX (account->terms.pools, 1U);
+  return mt_resources_get (&account->terms.quota, i) / MAX (account->terms.pools, 1U);
 }
 
 /* A pool that hears nothing keeps no more than an even share: whoever grants counts on that, and
@@ -109,9 +109,9 @@
              unsigned i,
              int64_t now)
 {
-  int64_t quota = mt_room_get (&account->terms.quota, i);
+  int64_t quota = mt_resources_get (&account->terms.quota, i);
   int64_t even = even_share (account, i);
-  int64_t granted = mt_room_get (&account->granted, i);
+  int64_t granted = mt_resources_get (&account->granted, i);
 
   if (account->has_grant)
     return MIN (granted, now < sched->grants_until ? quota : even);
@@ -123,21 +123,21 @@
 /* A pool that has the whole quota may go beyond it by one task: one that is larger than all of it
  * would never run. */
 bool
-mt_account_has_room (const struct mt_scheduler *sched,
-                     const struct mt_account *account,
-                     const struct mt_step *step,
-                     int64_t now)
+mt_account_allows (const struct mt_scheduler *sched,
+                   const struct mt_account *account,
+                   const struct mt_step *step,
+                   int64_t now)
 {
-  for (unsigned i = 0; account != NULL && i < MT_ROOM_PARTS; i++)
+  for (unsigned i = 0; account != NULL && i < MT_RESOURCE_KINDS; i++)
     {
-      int64_t quota = mt_room_get (&account->terms.quota, i);
-      int64_t used = mt_room_get (&account->used, i);
+      int64_t quota = mt_resources_get (&account->terms.quota, i);
+      int64_t used = mt_resources_get (&account->used, i);
       int64_t limit;
 
       if (quota == 0)
         continue;
       limit = share_limit (sched, account, i, now);
-      if (used + mt_room_get (&step->need, i) > limit && (limit < quota || used >= quota))
+      if (used + mt_resources_get (&step->need, i) > limit && (limit < quota || used >= quota))
         return false;
     }
   return true;
@@ -157,25 +157,25 @@
     return;
   g_hash_table_iter_init (&it, sched->accounts);
   while (g_hash_table_iter_next (&it, NULL, (void **) &account))
-    for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
+    for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
       {
-        int64_t *granted = mt_room_part (&account->granted, i);
+        int64_t *granted = mt_resources_field (&account->granted, i);
 
         *granted = MIN (*granted, even_share (account, i));
       }
 }
 
 bool
-mt_scheduler_granted (struct mt_scheduler *sched,
-                      const struct mt_grant_message *message,
-                      int64_t now)
+mt_scheduler_apply_grants (struct mt_scheduler *sched,
+                           const struct mt_grant_message *message,
+                           int64_t now)
 {
   if (message->token < sched->grants_token
-      || (message->token == sched->grants_token && message->number <= sched->grants_number))
+      || (message->token == sched->grants_token && message->sequence <= sched->grants_number))
     return false;
   drop_lapsed (sched, now);
   sched->grants_token = message->token;
-  sched->grants_number = message->number;
+  sched->grants_number = message->sequence;
   sched->grants_all = message->all;
   sched->grants_until = now + MT_GRANT_LEASE_MS;
   for (size_t i = 0; i < message->n_grants; i++)
@@ -184,7 +184,7 @@
 
       if (account == NULL)
         continue;
-      account->granted = message->grants[i].room;
+      account->granted = message->grants[i].resources;
       account->has_grant = true;
       sched->changed = true;
     }
@@ -194,7 +194,7 @@
 static bool
 is_limited (const struct mt_account *account)
 {
-  const struct mt_room *quota = &account->terms.quota;
+  const struct mt_resources *quota = &account->terms.quota;
 
   return quota->cpu > 0 || quota->mem > 0 || quota->gpu > 0;
 }
@@ -213,14 +213,14 @@
     {
       const struct mt_step *step = &occ->job->spec->steps[s];
 
-      if (occ->step_waiting[s] == 0 || !mt_occurrence_ready (occ, s))
+      if (occ->step_waiting[s] == 0 || !mt_occurrence_step_is_ready (occ, s))
         continue;
-      for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
+      for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
         {
-          int64_t need = mt_room_get (&step->need, i);
-          int64_t *largest = mt_room_part (&view->largest, i);
+          int64_t need = mt_resources_get (&step->need, i);
+          int64_t *largest = mt_resources_field (&view->largest_waiting, i);
 
-          *mt_room_part (&view->waiting, i) += occ->step_waiting[s] * need;
+          *mt_resources_field (&view->waiting, i) += occ->step_waiting[s] * need;
           *largest = MAX (*largest, need);
         }
     }
--- a/core/scheduler/scheduler_answers.c
+++ b/core/scheduler/scheduler_answers.c
@@ -27,12 +27,12 @@
 fence_off (struct mt_scheduler *sched, const char *worker)
 {
   if (!sched->fenced_off)
-    mt_scheduler_tell (sched, "SCHEDULER_FENCED", "worker=%s", worker);
+    mt_scheduler_log_event (sched, "SCHEDULER_FENCED", "worker=%s", worker);
   sched->fenced_off = true;
 }
 
 bool
-mt_scheduler_is_fenced_off (const struct mt_scheduler *sched)
+mt_scheduler_is_fenced (const struct mt_scheduler *sched)
 {
   return sched->fenced_off;
 }
@@ -42,13 +42,13 @@
 {
   if (w->silent_since != 0)
     {
-      mt_scheduler_tell (sched, "WORKER_BACK", "worker=%s silent_ms=%" G_GINT64_FORMAT, w->id,
-                         now - w->silent_since);
+      mt_scheduler_log_event (sched, "WORKER_BACK", "worker=%s silent_ms=%" G_GINT64_FORMAT, w->id,
+                              now - w->silent_since);
       sched->changed = true;
     }
   w->heard = now;
   w->silent_since = 0;
-  mt_worker_settle (sched, w);
+  mt_worker_clear_settled (sched, w);
 }
 
 static void
@@ -57,8 +57,8 @@
   if (w->silent_since != 0)
     return;
   w->silent_since = now;
-  mt_worker_fell_silent (w, now);
-  mt_scheduler_tell (sched, "WORKER_SILENT", "worker=%s tasks=%u", w->id, w->tasks.length);
+  mt_worker_record_silence (w, now);
+  mt_scheduler_log_event (sched, "WORKER_SILENT", "worker=%s tasks=%u", w->id, w->tasks.length);
 }
 
 /* One order without an answer, from a worker that answers others: it may be carried out late, and
@@ -78,9 +78,9 @@
 {
   if (job->begun)
     return;
-  mt_job_begin (job);
-  mt_scheduler_tell (sched, "JOB_BEGUN", "id=%s route=%s waited_ms=%" G_GINT64_FORMAT,
-                     job->spec->id, job->route->name, now - job->submitted);
+  mt_job_mark_begun (job);
+  mt_scheduler_log_event (sched, "JOB_BEGUN", "id=%s route=%s waited_ms=%" G_GINT64_FORMAT,
+                          job->spec->id, job->route->name, now - job->submitted);
 }
 
 static void
@@ -88,14 +88,14 @@
 {
   if (task->state != MT_TASK_ORDERED)
     return;
-  mt_task_unqueue (sched, task);
+  mt_task_dequeue (sched, task);
   task->state = MT_TASK_RUNNING;
   task->since = task->began = now;
   task->moved = now;
   task->doubtful = false;
   /* Its worker may be down the next moment, and this daemon too: a successor has to know. */
   if (task->isolated)
-    mt_job_mark (sched, task->occ->job);
+    mt_job_mark_dirty (sched, task->occ->job);
   begin_job (sched, task->occ->job, now);
 }
 
@@ -142,12 +142,12 @@
 
   begin_job (sched, job, now);
   learn (task, w, now);
-  mt_worker_evidence (sched, w, true, now);
+  mt_worker_record_outcome (sched, w, true, now);
   if (mt_task_step (task)->gang)
     gang_done (sched, task, now);
   else
     mt_task_finish (sched, task, now);
-  mt_job_check_end (sched, job, now);
+  mt_job_complete_if_done (sched, job, now);
 }
 
 /* One failed run of a gang counts once, for all its members. */
@@ -174,12 +174,12 @@
   begin_job (sched, job, now);
   task->shunned = w;
   task->not_before = now + AGAIN_MS;
-  mt_task_wait (sched, task, now);
+  mt_task_set_waiting (sched, task, now);
   if (step->long_running)
     return;
-  mt_worker_evidence (sched, w, false, now);
-  mt_task_tell (sched, task, w, "TASK_FAILED", "attempts=%u of=%d", task->attempts + 1U,
-                job->route->terms.max_attempts);
+  mt_worker_record_outcome (sched, w, false, now);
+  mt_task_log_event (sched, task, w, "TASK_FAILED", "attempts=%u of=%d", task->attempts + 1U,
+                     job->route->terms.max_attempts);
   if ((int) count_attempt (task) >= job->route->terms.max_attempts)
     mt_job_end (sched, job, MT_JOB_FAILED, now);
 }
@@ -188,7 +188,7 @@
 finish_elsewhere (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
   mt_task_finish (sched, task, now);
-  mt_job_check_end (sched, task->occ->job, now);
+  mt_job_complete_if_done (sched, task->occ->job, now);
 }
 
 static void
@@ -206,7 +206,7 @@
   mt_task_keep_checkpoint (task, end->checkpoint);
   /* Work that was done counts whichever run did it. Another run of it takes room until it has
    * ended, so the task is done only then: sooner, its worker would be overbooked. */
-  if (end->how == MT_END_DONE && !current)
+  if (end->kind == MT_END_DONE && !current)
     {
       task->done_elsewhere = true;
       if (task->worker != NULL)
@@ -218,16 +218,16 @@
   if (!current)
     return;
   /* The worker is there to tell of it. */
-  task->suspect &= end->how != MT_END_DONE && end->how != MT_END_FAILED;
-  if (end->how == MT_END_DONE)
+  task->suspect &= end->kind != MT_END_DONE && end->kind != MT_END_FAILED;
+  if (end->kind == MT_END_DONE)
     task_done (sched, task, w, now);
-  else if (end->how == MT_END_FAILED)
+  else if (end->kind == MT_END_FAILED)
     task_failed (sched, task, w, now);
   else
     {
-      if (end->how == MT_END_ALONE || end->how == MT_END_BROKEN)
+      if (end->kind == MT_END_GANG_INCOMPLETE || end->kind == MT_END_GANG_BROKEN)
         task->not_before = now + AGAIN_MS;
-      mt_task_wait (sched, task, now);
+      mt_task_set_waiting (sched, task, now);
     }
 }
 
@@ -241,10 +241,10 @@
     {
       const struct mt_end_row *end = &report->ended[i];
 
-      if (end->number <= w->seen_end)
+      if (end->sequence <= w->seen_end)
         continue;
       take_end (sched, w, end, now);
-      w->seen_end = end->number;
+      w->seen_end = end->sequence;
       sched->changed = true;
     }
 }
@@ -276,7 +276,7 @@
   if (task->occ->job->ended_at != 0)
     mt_task_stop (sched, task, now);
   if (task->state == MT_TASK_STOPPING && task->stop_answered
-      && sent > task->answered + MT_STOP_AGAIN_MS)
+      && sent > task->answered + MT_STOP_RETRY_MS)
     task->stop_answered = false;
 }
 
@@ -317,9 +317,9 @@
 stop_missed (
     struct mt_scheduler *sched, struct mt_task *task, const char *why, int64_t sent, int64_t now)
 {
-  mt_task_tell (sched, task, task->worker, "TASK_MISSED",
-                "why=%s listing_age_ms=%" G_GINT64_FORMAT " since_ms=%" G_GINT64_FORMAT, why,
-                now - sent, now - task->since);
+  mt_task_log_event (sched, task, task->worker, "TASK_MISSED",
+                     "why=%s listing_age_ms=%" G_GINT64_FORMAT " since_ms=%" G_GINT64_FORMAT, why,
+                     now - sent, now - task->since);
   task->shunned = task->worker;
   mt_task_stop (sched, task, now);
 }
@@ -331,7 +331,8 @@
 static void
 doubt_start (struct mt_scheduler *sched, struct mt_task *task, int64_t sent, int64_t now)
 {
-  if (task->repeats < START_REPEATS && !task->worker->leaving && !mt_worker_is_over (task->worker))
+  if (task->repeats < START_REPEATS && !task->worker->leaving
+      && !mt_worker_is_overcommitted (task->worker))
     {
       if (sent <= task->since)
         return;
@@ -340,7 +341,7 @@
       task->order_due = true;
       g_queue_push_tail (&sched->starts, task);
     }
-  else if (now - task->since > MT_DOUBT_MS)
+  else if (now - task->since > MT_UNCONFIRMED_START_MS)
     stop_missed (sched, task, "start unanswered", sent, now);
 }
 
@@ -356,7 +357,7 @@
     case MT_TASK_ORDERED:
       /* The predecessor's orders are refused from our first hold on: it was never started. */
       if (task->inherited)
-        mt_task_wait (sched, task, now);
+        mt_task_set_waiting (sched, task, now);
       else if (task->doubtful)
         doubt_start (sched, task, sent, now);
       return;
@@ -366,7 +367,7 @@
       return;
     case MT_TASK_STOPPING:
       if (task->stop_answered && after)
-        mt_task_wait (sched, task, now);
+        mt_task_set_waiting (sched, task, now);
       return;
     default:
       return;
@@ -415,7 +416,7 @@
     case MT_ANSWER_FENCED:
       fence_off (sched, worker);
       return;
-    case MT_ANSWER_OTHER_LIFE:
+    case MT_ANSWER_OTHER_INCARNATION:
       mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
       return;
     default:
@@ -425,27 +426,27 @@
     }
   /* An answer that an earlier life had sent may arrive after the registry has told of the next one:
    * it says nothing of what runs now. */
-  if (report->born_ms != 0 && report->born_ms < w->born)
+  if (report->started_at_ms != 0 && report->started_at_ms < w->born)
     {
       w->next_hold = now;
       return;
     }
-  if (report->born_ms != 0 && w->born != 0 && report->born_ms != w->born)
+  if (report->started_at_ms != 0 && w->born != 0 && report->started_at_ms != w->born)
     {
       struct mt_worker_entry reborn = { .id = w->id,
-                                        .born_ms = report->born_ms,
+                                        .started_at_ms = report->started_at_ms,
                                         .address = w->address,
                                         .zone = w->zone,
-                                        .room = w->room };
+                                        .resources = w->room };
 
-      mt_scheduler_worker_seen (sched, &reborn, now);
+      mt_scheduler_update_worker (sched, &reborn, now);
     }
   else if (w->born == 0)
-    w->born = report->born_ms;
+    w->born = report->started_at_ms;
   heard (sched, w, now);
   w->listing_at = now;
   w->lost_holds = 0;
-  mt_worker_clock (w, report->clock_ms, now);
+  mt_worker_update_clock (w, report->clock_ms, now);
   if (!w->held)
     {
       w->held = true;
@@ -453,7 +454,7 @@
     }
   take_ends (sched, w, report, now);
   take_runs (sched, w, report, sent, now);
-  mt_worker_pace (sched, w, now);
+  mt_worker_adjust_pace (sched, w, now);
   w->next_hold = w->tasks.length > 0 || w->strays > 0 || w->seen_end > w->durable_end
                      ? now
                      : now + IDLE_HOLD_MS;
@@ -469,12 +470,13 @@
                int64_t now)
 {
   static const char *const why[] = {
-    [MT_ANSWER_OLD_RUN] = "old run",     [MT_ANSWER_LATE] = "late",
-    [MT_ANSWER_NO_ROOM] = "no room",     [MT_ANSWER_NO_TICKET] = "no ticket",
-    [MT_ANSWER_UNHEALTHY] = "unhealthy", [MT_ANSWER_BAD] = "unreadable",
+    [MT_ANSWER_STALE_RUN] = "old run",    [MT_ANSWER_LEASE_EXPIRED] = "late",
+    [MT_ANSWER_NO_RESOURCES] = "no room", [MT_ANSWER_NO_TICKET] = "no ticket",
+    [MT_ANSWER_UNHEALTHY] = "unhealthy",  [MT_ANSWER_MALFORMED] = "unreadable",
   };
 
-  if (answer == MT_ANSWER_NO_ROOM || answer == MT_ANSWER_UNHEALTHY || answer == MT_ANSWER_BAD)
+  if (answer == MT_ANSWER_NO_RESOURCES || answer == MT_ANSWER_UNHEALTHY
+      || answer == MT_ANSWER_MALFORMED)
     w->shun_until = MAX (w->shun_until, now + REFUSED_MS);
   if (answer == MT_ANSWER_NO_TICKET)
     {
@@ -484,12 +486,12 @@
       g_hash_table_remove (sched->advices, name);
     }
   task->not_before = now + AGAIN_MS;
-  mt_task_tell (sched, task, w, "START_REFUSED", "why=%s", why[answer]);
+  mt_task_log_event (sched, task, w, "START_REFUSED", "why=%s", why[answer]);
   /* One sent before may still arrive, and find room: the task would run twice. */
   if (task->repeats > 0)
     mt_task_stop (sched, task, now);
   else
-    mt_task_wait (sched, task, now);
+    mt_task_set_waiting (sched, task, now);
 }
 
 static void
@@ -543,7 +545,7 @@
       fence_off (sched, worker);
       return;
     }
-  if (answer == MT_ANSWER_OTHER_LIFE)
+  if (answer == MT_ANSWER_OTHER_INCARNATION)
     {
       mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
       return;
@@ -553,7 +555,7 @@
   else
     {
       heard (sched, w, now);
-      mt_worker_clock (w, clock_ms, now);
+      mt_worker_update_clock (w, clock_ms, now);
     }
   if (task == NULL || task->worker != w || task->run != run)
     return;
--- a/core/scheduler/scheduler_arrivals.c
+++ b/core/scheduler/scheduler_arrivals.c
@@ -22,7 +22,7 @@
 }
 
 double
-mt_scheduler_arriving (const struct mt_scheduler *sched, int64_t now)
+mt_scheduler_arriving_cpu (const struct mt_scheduler *sched, int64_t now)
 {
   GHashTableIter it;
   struct mt_route *route;
@@ -36,7 +36,7 @@
 
 /* A surge shows in what arrives well before it shows in what runs, and before anything waits. */
 void
-mt_route_count_arrival (const struct mt_job *job, int64_t now)
+mt_route_record_arrival (const struct mt_job *job, int64_t now)
 {
   struct mt_route *route = job->route;
   double chain = (double) mt_job_spec_chain_ms (job->spec, 1.0);
--- a/core/scheduler/scheduler_crashes.c
+++ b/core/scheduler/scheduler_crashes.c
@@ -36,7 +36,7 @@
 #define ISOLATION_WAIT_MS 1000
 
 int64_t
-mt_task_seen_ms (const struct mt_task *task)
+mt_task_observed_ms (const struct mt_task *task)
 {
   return task->began != 0 ? MAX (task->worker->heard - task->began, 0) : 0;
 }
@@ -50,7 +50,7 @@
 static bool
 has_settled (const struct mt_task *task)
 {
-  return mt_task_seen_ms (task) >= MAX (task->settled_ms, SETTLED_MS);
+  return mt_task_observed_ms (task) >= MAX (task->settled_ms, SETTLED_MS);
 }
 
 /* Its start was sent. */
@@ -85,7 +85,7 @@
 }
 
 void
-mt_worker_fell_silent (struct mt_worker *w, int64_t now)
+mt_worker_record_silence (struct mt_worker *w, int64_t now)
 {
   /* A life that has not answered yet may wait behind what was sent to the one before it, at the
    * same address. */
@@ -164,12 +164,12 @@
 {
   bool settled = has_settled (task);
   bool cause = is_cause (crash, task);
-  bool is_fresh = mt_task_has_begun (task) && mt_task_seen_ms (task) < SETTLED_MS;
+  bool is_fresh = mt_task_has_begun (task) && mt_task_observed_ms (task) < SETTLED_MS;
 
   task->losses += task->losses < G_MAXUINT8;
   task->crashes += crash->life_over && is_fresh && task->crashes < G_MAXUINT8;
   if (settled && task->losses > 1)
-    task->settled_ms = MIN (mt_task_seen_ms (task) + SETTLED_MS, SETTLED_MOST_MS);
+    task->settled_ms = MIN (mt_task_observed_ms (task) + SETTLED_MS, SETTLED_MOST_MS);
   if (task->losses > 1 || (!settled && !crash->with_others))
     task->suspect = true;
   return (cause && task->crashes >= least_crashes (task)) || is_lost_too_often (task);
@@ -197,7 +197,7 @@
 {
   if (!may_have_begun (task))
     return false;
-  if (mt_task_step (task)->long_running && mt_task_seen_ms (task) >= LONG_RUNNING_SETTLED_MS)
+  if (mt_task_step (task)->long_running && mt_task_observed_ms (task) >= LONG_RUNNING_SETTLED_MS)
     task->losses = task->crashes = 0;
   if (planned)
     return task->suspect && count_only (task);
@@ -218,7 +218,7 @@
   struct crash crash;
 
   if (!planned && w->silent_since == 0)
-    mt_worker_fell_silent (w, now);
+    mt_worker_record_silence (w, now);
   crash = examine (sched, w, life_over);
   for (GList *l = w->tasks.head; l != NULL; l = l->next)
     {
@@ -235,9 +235,9 @@
 
   if (job->ended_at != 0)
     return;
-  mt_scheduler_tell (sched, "TASK_GIVEN_UP", "id=%s step=%u index=%u run=%u losses=%u crashes=%u",
-                     job->spec->id, task->step, task->index, task->run, task->losses,
-                     task->crashes);
+  mt_scheduler_log_event (sched, "TASK_GIVEN_UP",
+                          "id=%s step=%u index=%u run=%u losses=%u crashes=%u", job->spec->id,
+                          task->step, task->index, task->run, task->losses, task->crashes);
   mt_job_end (sched, job, MT_JOB_FAILED, now);
 }
 
@@ -266,7 +266,7 @@
 }
 
 bool
-mt_task_may_join (const struct mt_task *task, const struct mt_worker *w, int64_t now)
+mt_task_may_share_worker (const struct mt_task *task, const struct mt_worker *w, int64_t now)
 {
   const struct mt_job *job = task->occ->job;
 
@@ -301,7 +301,7 @@
 }
 
 void
-mt_worker_settle (struct mt_scheduler *sched, struct mt_worker *w)
+mt_worker_clear_settled (struct mt_scheduler *sched, struct mt_worker *w)
 {
   for (GList *l = w->tasks.head; l != NULL && w->isolated > 0; l = l->next)
     {
@@ -312,7 +312,7 @@
       mt_task_end_isolation (task);
       task->suspect = false;
       sched->changed = true;
-      mt_task_tell (sched, task, w, "TASK_SETTLED", "seen_ms=%" G_GINT64_FORMAT " losses=%u",
-                    mt_task_seen_ms (task), task->losses);
+      mt_task_log_event (sched, task, w, "TASK_SETTLED", "seen_ms=%" G_GINT64_FORMAT " losses=%u",
+                         mt_task_observed_ms (task), task->losses);
     }
 }
--- a/core/scheduler/scheduler_cycle.c
+++ b/core/scheduler/scheduler_cycle.c
@@ -12,7 +12,7 @@
 }
 
 bool
-mt_scheduler_wants_cycle (struct mt_scheduler *sched, int64_t now)
+mt_scheduler_needs_cycle (struct mt_scheduler *sched, int64_t now)
 {
   return !sched->in_cycle && (sched->changed || (sched->place_at != 0 && now >= sched->place_at));
 }
@@ -58,7 +58,7 @@
   if (sched->in_cycle)
     return NULL;
   sched->changed = false;
-  mt_job_open_due (sched, now, wall);
+  mt_scheduler_open_due_occurrences (sched, now, wall);
   mt_scheduler_place (sched, now);
   out = g_ptr_array_new_with_free_func (g_free);
   collect_dirty (sched, out);
@@ -84,9 +84,9 @@
 
         if (task->state != MT_TASK_PLACED)
           continue;
-        if (task->worker->leaving || mt_worker_is_over (task->worker))
+        if (task->worker->leaving || mt_worker_is_overcommitted (task->worker))
           {
-            mt_task_wait (sched, task, now);
+            mt_task_set_waiting (sched, task, now);
             continue;
           }
         task->state = MT_TASK_ORDERED;
@@ -114,7 +114,7 @@
 }
 
 int64_t
-mt_scheduler_revision (const struct mt_scheduler *sched, const char *id)
+mt_scheduler_job_revision (const struct mt_scheduler *sched, const char *id)
 {
   const struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
 
@@ -122,7 +122,7 @@
 }
 
 void
-mt_scheduler_set_revision (struct mt_scheduler *sched, const char *id, int64_t revision)
+mt_scheduler_set_job_revision (struct mt_scheduler *sched, const char *id, int64_t revision)
 {
   struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
 
@@ -131,21 +131,21 @@
 }
 
 const char *
-mt_scheduler_expired (const struct mt_scheduler *sched, int64_t now)
+mt_scheduler_expired_job (const struct mt_scheduler *sched, int64_t now)
 {
   const struct mt_job *job = g_queue_peek_head ((GQueue *) &sched->closed);
 
   if (job == NULL || job->dirty || job->in_cycle)
     return NULL;
-  if (now - job->ended_at < 2 * sched->settings.status_ms && sched->closed.length <= MAX_CLOSED)
+  if (now - job->ended_at < 2 * sched->settings.retention_ms && sched->closed.length <= MAX_CLOSED)
     return NULL;
-  if (now - job->ended_at < sched->settings.status_ms)
+  if (now - job->ended_at < sched->settings.retention_ms)
     return NULL;
   return job->spec->id;
 }
 
 void
-mt_scheduler_forget (struct mt_scheduler *sched, const char *id)
+mt_scheduler_remove_job (struct mt_scheduler *sched, const char *id)
 {
   struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
 
@@ -153,7 +153,7 @@
     return;
   for (unsigned k = 0; k < job->n_occurrences; k++)
     for (unsigned i = 0; job->occurrences[k] != NULL && i < job->occurrences[k]->n_tasks; i++)
-      mt_task_wait (sched, &job->occurrences[k]->tasks[i], 0);
+      mt_task_set_waiting (sched, &job->occurrences[k]->tasks[i], 0);
   g_queue_unlink (&sched->closed, &job->link);
   g_ptr_array_remove_fast (sched->dirty, job);
   g_hash_table_remove (sched->jobs, id);
--- a/core/scheduler/scheduler_internal.h
+++ b/core/scheduler/scheduler_internal.h
@@ -83,11 +83,11 @@
 struct mt_account
 {
   char *name;
-  struct mt_workspace_terms terms;
-  struct mt_room used;    /* by tasks that have a worker */
-  struct mt_room granted; /* this pool's share of the quota */
-  bool has_grant;         /* granted was set by a message */
-  double burst;           /* jobs beyond its rate, as of burst_at; the rate wears it off */
+  struct mt_workspace_limits terms;
+  struct mt_resources used;    /* by tasks that have a worker */
+  struct mt_resources granted; /* this pool's share of the quota */
+  bool has_grant;              /* granted was set by a message */
+  double burst;                /* jobs beyond its rate, as of burst_at; the rate wears it off */
   int64_t burst_at;
 };
 
@@ -116,7 +116,7 @@
 struct mt_route
 {
   char *name;
-  struct mt_route_terms terms;
+  struct mt_route_policy terms;
   unsigned pending; /* jobs not begun */
   bool advice;
   double mean_ms;     /* of finished tasks; 0 until one has finished */
@@ -134,8 +134,8 @@
   char *address;
   char *zone;
   char **labels;
-  struct mt_room room;
-  struct mt_room used;
+  struct mt_resources room;
+  struct mt_resources used;
   GQueue tasks;
 
   bool listed;
@@ -179,7 +179,7 @@
   int64_t pace_at;
 };
 
-struct mt_advice
+struct mt_step_tickets
 {
   char *step_name;
   bool asked;
@@ -208,7 +208,7 @@
   GHashTable *jobs;     /* id to struct mt_job */
   GHashTable *routes;   /* name to struct mt_route */
   GHashTable *workers;  /* id to struct mt_worker */
-  GHashTable *advices;  /* step name to struct mt_advice */
+  GHashTable *advices;  /* step name to struct mt_step_tickets */
   GHashTable *accounts; /* workspace to struct mt_account */
   int64_t grants_token; /* of the last message ... */
   uint64_t grants_number;
@@ -240,48 +240,48 @@
   double timely_work; /* still to be run of jobs that can be in time, in thousandths of a core ms */
   double all_work;
   double capacity; /* 0: not known */
-  mt_scheduler_told told;
+  mt_scheduler_event_callback told;
   void *told_ctx;
 };
 
 /* A start that was repeated in vain may be in doubt for so long before it is stopped for
  * certainty. */
-#define MT_DOUBT_MS 350
+#define MT_UNCONFIRMED_START_MS 350
 /* A hold waits so long for an end at the worker; it renews the lease as often. */
 #define MT_HOLD_WAIT_MS 1000
 /* A worker that does not answer for so long takes no new work. */
 #define MT_SILENT_MS 700
 /* A stop without an answer, or without effect, is sent again after this: a worker takes 200 ms. */
-#define MT_STOP_AGAIN_MS 300
+#define MT_STOP_RETRY_MS 300
 /* A worker that runs slower than the others by this factor is avoided. */
 #define MT_SLOW_FACTOR 1.4
 /* Steps of which chains are reckoned; none after these counts as waited for. */
-#define MT_MAX_CHAINED 64
+#define MT_MAX_CHAIN_STEPS 64
 /* The worker's clock may run slow by this much (parts of a thousand). */
-#define MT_CLOCK_SLOW 20
+#define MT_CLOCK_DRIFT_PER_MILLE 20
 
-void mt_scheduler_tell (struct mt_scheduler *sched, const char *name, const char *format, ...)
+void mt_scheduler_log_event (struct mt_scheduler *sched, const char *name, const char *format, ...)
     G_GNUC_PRINTF (3, 4);
 /* The same of the run that a task has, or had last, on the worker: named before what the format
  * says. */
-void mt_task_tell (struct mt_scheduler *sched,
-                   const struct mt_task *task,
-                   const struct mt_worker *w,
-                   const char *name,
-                   const char *format,
-                   ...) G_GNUC_PRINTF (5, 6);
+void mt_task_log_event (struct mt_scheduler *sched,
+                        const struct mt_task *task,
+                        const struct mt_worker *w,
+                        const char *name,
+                        const char *format,
+                        ...) G_GNUC_PRINTF (5, 6);
 
 /* scheduler.c */
 void mt_ticket_free (void *data);
-void mt_job_mark (struct mt_scheduler *sched, struct mt_job *job);
+void mt_job_mark_dirty (struct mt_scheduler *sched, struct mt_job *job);
 /* A task of it has started: it is no longer among those that wait. */
-void mt_job_begin (struct mt_job *job);
-void mt_job_check_end (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
+void mt_job_mark_begun (struct mt_job *job);
+void mt_job_complete_if_done (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
 void
 mt_job_end (struct mt_scheduler *sched, struct mt_job *job, enum mt_job_state state, int64_t now);
 void mt_job_stop_tasks (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
-struct mt_occurrence *mt_job_occurrence (struct mt_job *job, unsigned number);
-void mt_job_open_due (struct mt_scheduler *sched, int64_t now, int64_t wall);
+struct mt_occurrence *mt_job_get_occurrence (struct mt_job *job, unsigned number);
+void mt_scheduler_open_due_occurrences (struct mt_scheduler *sched, int64_t now, int64_t wall);
 
 /* scheduler_tasks.c: the one place where a task changes its state */
 const struct mt_step *mt_task_step (const struct mt_task *task);
@@ -290,63 +290,65 @@
 /* ID.OCCURRENCE.STEP: what advice is asked for. */
 void mt_task_step_name (const struct mt_task *task, char *out, size_t size);
 /* The advice on the task's step; NULL where none was asked for. */
-struct mt_advice *mt_task_advice (const struct mt_scheduler *sched, const struct mt_task *task);
+struct mt_step_tickets *mt_task_step_tickets (const struct mt_scheduler *sched,
+                                              const struct mt_task *task);
 void
 mt_task_place (struct mt_scheduler *sched, struct mt_task *task, struct mt_worker *w, int64_t now);
-void mt_task_wait (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
+void mt_task_set_waiting (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
 void mt_task_finish (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
 void mt_task_stop (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
 void mt_task_keep_checkpoint (struct mt_task *task, const char *checkpoint);
-void mt_task_unqueue (struct mt_scheduler *sched, struct mt_task *task);
+void mt_task_dequeue (struct mt_scheduler *sched, struct mt_task *task);
 
 /* scheduler_accounts.c */
 /* NULL for no workspace's. */
 struct mt_account *mt_scheduler_account (struct mt_scheduler *sched, const char *workspace);
 void mt_account_free (void *data);
 /* A task of the step takes room, or gives it back (sign -1). */
-void mt_account_count (struct mt_account *account, const struct mt_step *step, int sign);
+void mt_account_add_usage (struct mt_account *account, const struct mt_step *step, int sign);
 /* A job has come just now; true where it is beyond the workspace's rate. */
-bool mt_account_count_job (struct mt_account *account, int64_t now);
+bool mt_account_record_job (struct mt_account *account, int64_t now);
 /* One more task of the step may run in this pool. */
-bool mt_account_has_room (const struct mt_scheduler *sched,
-                          const struct mt_account *account,
-                          const struct mt_step *step,
-                          int64_t now);
+bool mt_account_allows (const struct mt_scheduler *sched,
+                        const struct mt_account *account,
+                        const struct mt_step *step,
+                        int64_t now);
 
 /* scheduler_arrivals.c */
 /* A job has come just now. */
-void mt_route_count_arrival (const struct mt_job *job, int64_t now);
+void mt_route_record_arrival (const struct mt_job *job, int64_t now);
 /* Work that has come of late, in thousandths of a core. */
-double mt_scheduler_arriving (const struct mt_scheduler *sched, int64_t now);
+double mt_scheduler_arriving_cpu (const struct mt_scheduler *sched, int64_t now);
 
 /* scheduler_workers.c */
 struct mt_worker *mt_scheduler_worker (struct mt_scheduler *sched, const char *id);
-bool mt_worker_takes (const struct mt_worker *w, int64_t now);
+bool mt_worker_accepts_work (const struct mt_worker *w, int64_t now);
 /* It has shrunk below what it runs. */
-bool mt_worker_is_over (const struct mt_worker *w);
+bool mt_worker_is_overcommitted (const struct mt_worker *w);
 bool mt_worker_fits (const struct mt_worker *w, const struct mt_step *step);
 unsigned
 mt_worker_tasks_of_step (const struct mt_worker *w, const struct mt_occurrence *occ, unsigned step);
 /* Room, label, and no more tasks of the step there than may be. */
-bool mt_worker_has_place (const struct mt_worker *w, const struct mt_task *task);
+bool mt_worker_can_run (const struct mt_worker *w, const struct mt_task *task);
 /* Some other worker that takes work has a place for it. */
-bool mt_task_has_place_elsewhere (const struct mt_scheduler *sched,
-                                  const struct mt_task *task,
-                                  int64_t now);
-void mt_worker_evidence (struct mt_scheduler *sched, struct mt_worker *w, bool good, int64_t now);
+bool mt_task_can_run_elsewhere (const struct mt_scheduler *sched,
+                                const struct mt_task *task,
+                                int64_t now);
+void
+mt_worker_record_outcome (struct mt_scheduler *sched, struct mt_worker *w, bool good, int64_t now);
 /* Nothing runs there any more: its life is over, or its lease has lapsed. */
-void mt_worker_release (
+void mt_worker_release_tasks (
     struct mt_scheduler *sched, struct mt_worker *w, bool life_over, int64_t now, const char *why);
-void mt_worker_clock (struct mt_worker *w, int64_t clock_ms, int64_t now);
-int64_t mt_worker_lease (const struct mt_worker *w, int64_t now, int64_t hold_ms);
-void mt_worker_granted (struct mt_worker *w, int64_t hold_ms, int64_t now);
+void mt_worker_update_clock (struct mt_worker *w, int64_t clock_ms, int64_t now);
+int64_t mt_worker_lease_end (const struct mt_worker *w, int64_t now, int64_t hold_ms);
+void mt_worker_record_lease (struct mt_worker *w, int64_t hold_ms, int64_t now);
 
 /* scheduler_crashes.c */
 /* Its run is known to have been there, ... */
 bool mt_task_has_begun (const struct mt_task *task);
 /* ... for so long. */
-int64_t mt_task_seen_ms (const struct mt_task *task);
-void mt_worker_fell_silent (struct mt_worker *w, int64_t now);
+int64_t mt_task_observed_ms (const struct mt_task *task);
+void mt_worker_record_silence (struct mt_worker *w, int64_t now);
 /* The worker was lost with its tasks; before they are released. Returns those whose jobs are to be
  * given up (g_ptr_array_unref). */
 GPtrArray *mt_worker_count_losses (struct mt_scheduler *sched,
@@ -357,25 +359,25 @@
 /* The same for a job whose losses a predecessor has counted. */
 void mt_job_give_up_lost (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
 /* False where the task, or one that is there, is to be kept apart from other jobs. */
-bool mt_task_may_join (const struct mt_task *task, const struct mt_worker *w, int64_t now);
+bool mt_task_may_share_worker (const struct mt_task *task, const struct mt_worker *w, int64_t now);
 /* A task was placed; only a suspect is isolated. */
 void mt_task_isolate (struct mt_task *task);
 void mt_task_end_isolation (struct mt_task *task);
 /* The worker was heard: suspects that have settled there are none any more. */
-void mt_worker_settle (struct mt_scheduler *sched, struct mt_worker *w);
+void mt_worker_clear_settled (struct mt_scheduler *sched, struct mt_worker *w);
 
 /* scheduler_load.c */
 /* What is still to run of it, in thousandths of a core times ms; long-running tasks left out. */
-double mt_occurrence_work_left (const struct mt_occurrence *occ);
+double mt_occurrence_remaining_work (const struct mt_occurrence *occ);
 /* How much longer the task will run: by its progress where there is some, else by what such tasks
  * take. */
-int64_t mt_task_left_ms (const struct mt_task *task, int64_t now);
+int64_t mt_task_remaining_ms (const struct mt_task *task, int64_t now);
 
 /* scheduler_place.c */
 void mt_scheduler_place (struct mt_scheduler *sched, int64_t now);
-bool mt_occurrence_ready (const struct mt_occurrence *occ, unsigned step);
+bool mt_occurrence_step_is_ready (const struct mt_occurrence *occ, unsigned step);
 /* It can still be done within its objective. */
-bool mt_occurrence_is_timely (const struct mt_occurrence *occ, int64_t now);
+bool mt_occurrence_can_meet_objective (const struct mt_occurrence *occ, int64_t now);
 /* Sets objective_by by what is known now of how long its steps take. */
 void mt_occurrence_set_objective (struct mt_occurrence *occ);
 double mt_step_expected_ms (const struct mt_route *route, const struct mt_step *step);
@@ -383,13 +385,13 @@
 /* scheduler_orders.c */
 /* The owner's own link was late within the time of a hold: silence then says nothing of a worker.
  */
-bool mt_scheduler_doubts_itself (const struct mt_scheduler *sched, int64_t now);
+bool mt_scheduler_is_link_late (const struct mt_scheduler *sched, int64_t now);
 /* Starts have had to wait for it of late: it bounds what gets done. */
 bool mt_scheduler_is_link_bound (const struct mt_scheduler *sched, int64_t now);
 
 /* scheduler_watch.c: what is done about what stands still */
 void mt_scheduler_watch (struct mt_scheduler *sched, int64_t now);
 /* scheduler_pace.c */
-void mt_worker_pace (struct mt_scheduler *sched, struct mt_worker *w, int64_t now);
+void mt_worker_adjust_pace (struct mt_scheduler *sched, struct mt_worker *w, int64_t now);
 
 #endif
--- a/core/scheduler/scheduler_load.c
+++ b/core/scheduler/scheduler_load.c
@@ -14,7 +14,7 @@
 #define LATE_WORK_MS 4000.0
 
 int64_t
-mt_task_left_ms (const struct mt_task *task, int64_t now)
+mt_task_remaining_ms (const struct mt_task *task, int64_t now)
 {
   double expected = mt_step_expected_ms (task->occ->job->route, mt_task_step (task));
   int64_t known = task->moved - task->since;
@@ -52,7 +52,7 @@
 
   for (GList *l = w->tasks.head; l != NULL; l = l->next)
     if (!mt_task_step (l->data)->long_running)
-      most = MAX (most, mt_task_left_ms (l->data, now));
+      most = MAX (most, mt_task_remaining_ms (l->data, now));
   return most;
 }
 
@@ -74,11 +74,11 @@
       out[n] = (struct mt_worker_view){ .id = w->id,
                                         .tasks = w->tasks.length,
                                         .drain_rounds = drain_rounds (w),
-                                        .free_ms = worker_free_ms (w, now),
+                                        .batch_remaining_ms = worker_free_ms (w, now),
                                         .cordoned = w->cordon_until > 0,
                                         .leaving = w->leaving,
                                         .silent = w->silent_since != 0 || !w->held,
-                                        .room = w->room,
+                                        .resources = w->room,
                                         .used = w->used };
       for (GList *l = w->tasks.head; l != NULL; l = l->next)
         out[n].long_running += mt_task_step (l->data)->long_running;
@@ -108,7 +108,7 @@
 }
 
 double
-mt_occurrence_work_left (const struct mt_occurrence *occ)
+mt_occurrence_remaining_work (const struct mt_occurrence *occ)
 {
   double work = 0;
 
@@ -131,7 +131,7 @@
 {
   double left = MAX ((double) (occ->objective_by - now - DEMAND_MARGIN_MS), DEMAND_LEAST_MS);
 
-  return (int64_t) (mt_occurrence_work_left (occ) / left);
+  return (int64_t) (mt_occurrence_remaining_work (occ) / left);
 }
 
 /* When what runs of the step will have ended, from now; counts those that go on beyond SOON_MS. */
@@ -147,7 +147,7 @@
 
       if (task->state == MT_TASK_WAITING || task->state == MT_TASK_DONE)
         continue;
-      left = mt_task_left_ms (task, now);
+      left = mt_task_remaining_ms (task, now);
       most = MAX (most, left);
       *going_on += left > SOON_MS;
     }
@@ -159,10 +159,10 @@
 soon_cpu (const struct mt_occurrence *occ, int64_t now)
 {
   const struct mt_job_spec *spec = occ->job->spec;
-  double ends[MT_MAX_CHAINED] = { 0 };
+  double ends[MT_MAX_CHAIN_STEPS] = { 0 };
   int64_t sum = 0;
 
-  for (unsigned s = 0; s < spec->n_steps && s < MT_MAX_CHAINED; s++)
+  for (unsigned s = 0; s < spec->n_steps && s < MT_MAX_CHAIN_STEPS; s++)
     {
       const struct mt_step *step = &spec->steps[s];
       unsigned busy = occ->step_waiting[s];
@@ -170,9 +170,9 @@
       double ends_at;
 
       for (unsigned a = 0; a < step->n_after; a++)
-        if (step->after[a] < MT_MAX_CHAINED)
+        if (step->after[a] < MT_MAX_CHAIN_STEPS)
           begins = MAX (begins, ends[step->after[a]]);
-      if (!mt_occurrence_ready (occ, s))
+      if (!mt_occurrence_step_is_ready (occ, s))
         busy = begins <= SOON_MS ? step->count : 0;
       ends_at = step_left_ms (occ, s, now, &busy);
       ends[s] = MAX (ends_at, begins);
@@ -188,8 +188,8 @@
 waits_for_quota (const struct mt_scheduler *sched, const struct mt_occurrence *occ, int64_t now)
 {
   for (unsigned s = 0; s < occ->job->spec->n_steps; s++)
-    if (occ->step_waiting[s] > 0 && mt_occurrence_ready (occ, s)
-        && !mt_account_has_room (sched, occ->job->account, &occ->job->spec->steps[s], now))
+    if (occ->step_waiting[s] > 0 && mt_occurrence_step_is_ready (occ, s)
+        && !mt_account_allows (sched, occ->job->account, &occ->job->spec->steps[s], now))
       return true;
   return false;
 }
@@ -200,16 +200,16 @@
              const struct mt_occurrence *occ,
              int64_t now)
 {
-  bool timely = mt_occurrence_is_timely (occ, now);
+  bool timely = mt_occurrence_can_meet_objective (occ, now);
 
   if (waits_for_quota (sched, occ, now))
     return;
   if (timely)
     load->demand_cpu += demand_of (occ, now);
   else
-    load->late_cpu += (int64_t) (mt_occurrence_work_left (occ) / LATE_WORK_MS);
+    load->overdue_cpu += (int64_t) (mt_occurrence_remaining_work (occ) / LATE_WORK_MS);
   if (occ->objective_by > now || occ->job->spec->steps[0].long_running)
-    load->soon_cpu += soon_cpu (occ, now);
+    load->upcoming_cpu += soon_cpu (occ, now);
   for (unsigned s = 0; s < occ->job->spec->n_steps; s++)
     {
       const struct mt_step *step = &occ->job->spec->steps[s];
@@ -222,7 +222,7 @@
         continue;
       load->waiting += left;
       if (step->long_running)
-        load->stranded += left;
+        load->unplaceable += left;
       if (timely || step->long_running)
         load->urgent += left;
     }
@@ -237,7 +237,7 @@
   if (!w->leaving && (!w->move_long_running || w->cordon_until <= now))
     return 0;
   for (GList *l = w->tasks.head; l != NULL; l = l->next)
-    n += mt_task_step (l->data)->long_running && !mt_task_has_place_elsewhere (sched, l->data, now);
+    n += mt_task_step (l->data)->long_running && !mt_task_can_run_elsewhere (sched, l->data, now);
   return n;
 }
 
@@ -249,7 +249,7 @@
 
   load->demand_cpu = MIN (load->demand_cpu, most);
   load->arriving_cpu = MIN (load->arriving_cpu, most);
-  load->late_cpu = MIN (load->late_cpu, MAX (most - load->demand_cpu, 0));
+  load->overdue_cpu = MIN (load->overdue_cpu, MAX (most - load->demand_cpu, 0));
 }
 
 void
@@ -258,9 +258,9 @@
   GHashTableIter it;
   struct mt_worker *w;
 
-  *load
-      = (struct mt_scheduler_load){ .jobs = sched->open.length,
-                                    .arriving_cpu = (int64_t) mt_scheduler_arriving (sched, now) };
+  *load = (struct mt_scheduler_load){ .jobs = sched->open.length,
+                                      .arriving_cpu
+                                      = (int64_t) mt_scheduler_arriving_cpu (sched, now) };
   for (GList *l = sched->open.head; l != NULL; l = l->next)
     {
       struct mt_job *job = l->data;
@@ -277,10 +277,10 @@
         continue;
       load->workers++;
       load->silent += w->silent_since != 0;
-      load->stranded += count_stranded (sched, w, now);
-      if (!mt_worker_takes (w, now))
+      load->unplaceable += count_stranded (sched, w, now);
+      if (!mt_worker_accepts_work (w, now))
         continue;
-      load->room_cpu += w->room.cpu;
+      load->capacity_cpu += w->room.cpu;
       load->used_cpu += w->used.cpu;
       add_used (load, w, now);
     }
--- a/core/scheduler/scheduler_orders.c
+++ b/core/scheduler/scheduler_orders.c
@@ -33,7 +33,7 @@
            int64_t now)
 {
   struct mt_worker *w = task->worker;
-  const struct mt_advice *advice = mt_task_advice (sched, task);
+  const struct mt_step_tickets *advice = mt_task_step_tickets (sched, task);
   const struct mt_ticket *ticket = NULL;
 
   mt_task_name (task, order->task, sizeof order->task);
@@ -42,7 +42,7 @@
   order->run = task->run;
   order->payload = task->occ->job->spec->payload;
   order->checkpoint = task->checkpoint;
-  order->lease_ms = mt_worker_lease (w, now, sched->settings.hold_ms);
+  order->lease_end_ms = mt_worker_lease_end (w, now, sched->settings.lease_ms);
   if (advice != NULL)
     ticket = g_hash_table_lookup (advice->tickets, w->id);
   order->ticket = ticket != NULL ? ticket->text : NULL;
@@ -91,8 +91,8 @@
   order->run = stray->run;
   g_strlcpy (order->task, stray->task, sizeof order->task);
   stray->worker->order_load++;
-  mt_scheduler_tell (sched, "RUN_STRAY", "task=%s run=%u worker=%s", stray->task, stray->run,
-                     stray->worker->id);
+  mt_scheduler_log_event (sched, "RUN_STRAY", "task=%s run=%u worker=%s", stray->task, stray->run,
+                          stray->worker->id);
   g_free (stray->task);
   g_free (stray);
   return order->address != NULL;
@@ -108,7 +108,7 @@
   order->kind = MT_ORDER_START;
   fill_task (sched, task, order, now);
   task->worker->start_sent = now;
-  mt_worker_granted (task->worker, sched->settings.hold_ms, now);
+  mt_worker_record_lease (task->worker, sched->settings.lease_ms, now);
   return true;
 }
 
@@ -169,15 +169,15 @@
       order->kind = MT_ORDER_HOLD;
       order->worker = w->id;
       order->address = w->address;
-      order->seen_end = w->durable_end;
+      order->acked_end = w->durable_end;
       order->wait_ms = w->tasks.length > 0 && w->held && !blocked ? hold_wait (sched, w, now) : 0;
       /* A hold without an answer may have been carried out. Were the lease renewed with each try,
        * a cut-off worker's tasks would never be known to be over. Where it is our own link that is
        * late, the tasks of workers that are well would lapse instead. */
-      if (w->silent_since == 0 || mt_scheduler_doubts_itself (sched, now))
+      if (w->silent_since == 0 || mt_scheduler_is_link_late (sched, now))
         {
-          order->lease_ms = mt_worker_lease (w, now, sched->settings.hold_ms);
-          mt_worker_granted (w, sched->settings.hold_ms, now);
+          order->lease_end_ms = mt_worker_lease_end (w, now, sched->settings.lease_ms);
+          mt_worker_record_lease (w, sched->settings.lease_ms, now);
         }
       return true;
     }
@@ -188,7 +188,7 @@
 next_advice (struct mt_scheduler *sched, int64_t now, struct mt_order *order)
 {
   GHashTableIter it;
-  struct mt_advice *advice;
+  struct mt_step_tickets *advice;
   GPtrArray *names;
   struct mt_worker *w;
 
@@ -202,17 +202,17 @@
   names = g_ptr_array_new ();
   g_hash_table_iter_init (&it, sched->workers);
   while (names->len < ADVISED_WORKERS && g_hash_table_iter_next (&it, NULL, (void **) &w))
-    if (mt_worker_takes (w, now))
+    if (mt_worker_accepts_work (w, now))
       g_ptr_array_add (names, g_strdup (w->id));
   g_ptr_array_add (names, NULL);
-  order->kind = MT_ORDER_ADVISE;
+  order->kind = MT_ORDER_REQUEST_TICKETS;
   order->workers = (char **) g_ptr_array_free (names, FALSE);
   g_strlcpy (order->task, advice->step_name, sizeof order->task);
   return true;
 }
 
 void
-mt_scheduler_link_waits (struct mt_scheduler *sched, int64_t wait_ms, int64_t now)
+mt_scheduler_set_link_delay (struct mt_scheduler *sched, int64_t wait_ms, int64_t now)
 {
   sched->link_ms = wait_ms;
   if (wait_ms > FULL_LINK_MS && !g_queue_is_empty (&sched->starts))
@@ -222,7 +222,7 @@
 }
 
 bool
-mt_scheduler_doubts_itself (const struct mt_scheduler *sched, int64_t now)
+mt_scheduler_is_link_late (const struct mt_scheduler *sched, int64_t now)
 {
   return sched->link_late_at != 0 && now - sched->link_late_at < FAIR_HOLD_MS;
 }
@@ -240,7 +240,7 @@
 bool
 mt_scheduler_next_order (struct mt_scheduler *sched, int64_t now, struct mt_order *order)
 {
-  *order = (struct mt_order){ .link_ms = sched->link_ms };
+  *order = (struct mt_order){ .link_delay_ms = sched->link_ms };
   if (sched->fenced_off)
     return false;
   mt_scheduler_watch (sched, now);
@@ -255,7 +255,7 @@
 bool
 mt_scheduler_next_hold (struct mt_scheduler *sched, int64_t now, struct mt_order *order)
 {
-  *order = (struct mt_order){ .link_ms = sched->link_ms };
+  *order = (struct mt_order){ .link_delay_ms = sched->link_ms };
   return !sched->fenced_off && next_hold (sched, now, order);
 }
 
@@ -267,13 +267,13 @@
 }
 
 void
-mt_scheduler_advised (struct mt_scheduler *sched,
-                      const char *step_name,
-                      const char *worker,
-                      const char *text,
-                      int64_t until)
+mt_scheduler_add_ticket (struct mt_scheduler *sched,
+                         const char *step_name,
+                         const char *worker,
+                         const char *text,
+                         int64_t until)
 {
-  struct mt_advice *advice = g_hash_table_lookup (sched->advices, step_name);
+  struct mt_step_tickets *advice = g_hash_table_lookup (sched->advices, step_name);
   struct mt_ticket *ticket;
 
   if (advice == NULL)
@@ -285,12 +285,12 @@
 }
 
 void
-mt_scheduler_advice_answered (struct mt_scheduler *sched,
-                              const char *step_name,
-                              int64_t now,
-                              bool ok)
+mt_scheduler_tickets_answered (struct mt_scheduler *sched,
+                               const char *step_name,
+                               int64_t now,
+                               bool ok)
 {
-  struct mt_advice *advice = g_hash_table_lookup (sched->advices, step_name);
+  struct mt_step_tickets *advice = g_hash_table_lookup (sched->advices, step_name);
 
   if (advice == NULL)
     return;
--- a/core/scheduler/scheduler_outlook.c
+++ b/core/scheduler/scheduler_outlook.c
@@ -18,7 +18,7 @@
 #define LATER_FACTOR 2
 
 void
-mt_scheduler_promise (struct mt_scheduler *sched, int64_t cpu, int64_t until)
+mt_scheduler_expect_capacity (struct mt_scheduler *sched, int64_t cpu, int64_t until)
 {
   sched->promised_cpu = cpu;
   sched->promised_until = until;
@@ -34,9 +34,9 @@
   int64_t lasting;
 
   mt_scheduler_load (sched, now, &load);
-  if (load.room_cpu == 0)
+  if (load.capacity_cpu == 0)
     return 0;
-  room = load.room_cpu;
+  room = load.capacity_cpu;
   lasting = load.long_running_cpu;
   if (now < sched->promised_until)
     room = MAX (room, sched->promised_cpu);
@@ -57,10 +57,10 @@
       for (unsigned k = 0; k < job->n_occurrences; k++)
         {
           const struct mt_occurrence *occ = job->occurrences[k];
-          double work = occ != NULL && !occ->ended ? mt_occurrence_work_left (occ) : 0;
+          double work = occ != NULL && !occ->ended ? mt_occurrence_remaining_work (occ) : 0;
 
           sched->all_work += work;
-          if (work > 0 && mt_occurrence_is_timely (occ, now))
+          if (work > 0 && mt_occurrence_can_meet_objective (occ, now))
             sched->timely_work += work;
         }
     }
@@ -76,14 +76,14 @@
   return (double) chain_ms * route->mean_ms / route->estimate_ms;
 }
 
-struct mt_outlook
-mt_scheduler_outlook (struct mt_scheduler *sched,
-                      const char *route_name,
-                      int64_t chain_ms,
-                      int64_t now)
+struct mt_wait_estimate
+mt_scheduler_estimate_wait (struct mt_scheduler *sched,
+                            const char *route_name,
+                            int64_t chain_ms,
+                            int64_t now)
 {
   const struct mt_route *route = g_hash_table_lookup (sched->routes, route_name);
-  struct mt_outlook out = { 0 };
+  struct mt_wait_estimate out = { 0 };
   double chain, allowed, over;
 
   if (route == NULL)
@@ -94,11 +94,11 @@
     return out;
   chain = expected_chain (route, chain_ms);
   allowed = route->terms.stretch * chain + (double) route->terms.objective_ms;
-  out.waits_ms = (int64_t) (sched->timely_work / sched->capacity);
-  if ((double) out.waits_ms + chain <= allowed)
+  out.wait_ms = (int64_t) (sched->timely_work / sched->capacity);
+  if ((double) out.wait_ms + chain <= allowed)
     return out;
-  out.waits_ms = (int64_t) (sched->all_work / sched->capacity);
-  over = (double) out.waits_ms / LATER_FACTOR + chain - USEFUL_FACTOR * allowed;
-  out.again_ms = over > 0 ? (int64_t) over + 1 : 0;
+  out.wait_ms = (int64_t) (sched->all_work / sched->capacity);
+  over = (double) out.wait_ms / LATER_FACTOR + chain - USEFUL_FACTOR * allowed;
+  out.retry_after_ms = over > 0 ? (int64_t) over + 1 : 0;
   return out;
 }
--- a/core/scheduler/scheduler_pace.c
+++ b/core/scheduler/scheduler_pace.c
@@ -55,12 +55,12 @@
       task->pace = pace;
       w->pace_at = now;
       g_queue_push_tail (&sched->paces, task);
-      mt_task_tell (sched, task, w, "TASK_PACED", "percent=%u", pace);
+      mt_task_log_event (sched, task, w, "TASK_PACED", "percent=%u", pace);
     }
 }
 
 void
-mt_worker_pace (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
+mt_worker_adjust_pace (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
 {
   int tight = tightness (w);
 
--- a/core/scheduler/scheduler_place.c
+++ b/core/scheduler/scheduler_place.c
@@ -70,7 +70,7 @@
 };
 
 bool
-mt_occurrence_ready (const struct mt_occurrence *occ, unsigned step)
+mt_occurrence_step_is_ready (const struct mt_occurrence *occ, unsigned step)
 {
   const struct mt_job_spec *spec = occ->job->spec;
   const struct mt_step *s = &spec->steps[step];
@@ -100,8 +100,8 @@
 mt_occurrence_set_objective (struct mt_occurrence *occ)
 {
   const struct mt_job_spec *spec = occ->job->spec;
-  const struct mt_route_terms *terms = &occ->job->route->terms;
-  double ends[MT_MAX_CHAINED] = { 0 };
+  const struct mt_route_policy *terms = &occ->job->route->terms;
+  double ends[MT_MAX_CHAIN_STEPS] = { 0 };
   double chain = 0;
 
   for (unsigned i = 0; i < spec->n_steps; i++)
@@ -113,9 +113,9 @@
       double end = ms;
 
       for (unsigned a = 0; a < step->n_after; a++)
-        if (step->after[a] < MT_MAX_CHAINED)
+        if (step->after[a] < MT_MAX_CHAIN_STEPS)
           end = MAX (end, ends[step->after[a]] + ms);
-      if (i < MT_MAX_CHAINED)
+      if (i < MT_MAX_CHAIN_STEPS)
         ends[i] = end;
       chain = MAX (chain, end);
     }
@@ -135,7 +135,7 @@
 look_ahead (const struct mt_occurrence *occ)
 {
   const struct mt_job_spec *spec = occ->job->spec;
-  double ends[MT_MAX_CHAINED];
+  double ends[MT_MAX_CHAIN_STEPS];
   struct outlook out = { 0 };
 
   for (unsigned i = 0; i < spec->n_steps; i++)
@@ -146,11 +146,11 @@
       double cpu = (double) step->need.cpu;
 
       for (unsigned a = 0; a < step->n_after; a++)
-        if (step->after[a] < MT_MAX_CHAINED)
+        if (step->after[a] < MT_MAX_CHAIN_STEPS)
           end = MAX (end, ends[step->after[a]]);
       if (occ->step_done[i] < step->count)
         end += ms;
-      if (i < MT_MAX_CHAINED)
+      if (i < MT_MAX_CHAIN_STEPS)
         ends[i] = end;
       out.chain_ms = MAX (out.chain_ms, end);
       out.work += ms * cpu * occ->step_waiting[i];
@@ -166,7 +166,7 @@
 }
 
 bool
-mt_occurrence_is_timely (const struct mt_occurrence *occ, int64_t now)
+mt_occurrence_can_meet_objective (const struct mt_occurrence *occ, int64_t now)
 {
   struct outlook o = look_ahead (occ);
 
@@ -230,7 +230,7 @@
     {
       struct bundle b = { .occ = occ, .step = s };
 
-      if (occ->step_waiting[s] == 0 || !mt_occurrence_ready (occ, s))
+      if (occ->step_waiting[s] == 0 || !mt_occurrence_step_is_ready (occ, s))
         continue;
       if (!looked)
         o = look_ahead (occ);
@@ -248,7 +248,7 @@
   int64_t now;
   GPtrArray *takers;
   double mean_slow;
-  struct mt_room full; /* so much has found no room; as much or more needn't be tried */
+  struct mt_resources full; /* so much has found no room; as much or more needn't be tried */
   bool any_full;
   unsigned placed;
   unsigned most; /* tasks to be placed */
@@ -257,7 +257,7 @@
 static bool
 may_run (const struct site *site, const struct mt_worker *w, const struct mt_task *task)
 {
-  if (!mt_worker_has_place (w, task) || !mt_task_may_join (task, w, site->now))
+  if (!mt_worker_can_run (w, task) || !mt_task_may_share_worker (task, w, site->now))
     return false;
   if (w->fails >= 1 && w->fails > w->dones && w->tasks.length >= TRIAL_TASKS)
     return false;
@@ -326,7 +326,7 @@
 
 /* The ticket holds long enough for a start to arrive. */
 static bool
-is_advised (const struct mt_advice *advice, const struct mt_worker *w, int64_t now)
+is_advised (const struct mt_step_tickets *advice, const struct mt_worker *w, int64_t now)
 {
   const struct mt_ticket *ticket
       = advice != NULL ? g_hash_table_lookup (advice->tickets, w->id) : NULL;
@@ -339,7 +339,8 @@
 {
   struct mt_route *route = task->occ->job->route;
   bool last = is_last_attempt (site, task);
-  const struct mt_advice *advice = route->advice ? mt_task_advice (site->sched, task) : NULL;
+  const struct mt_step_tickets *advice
+      = route->advice ? mt_task_step_tickets (site->sched, task) : NULL;
   struct mt_worker *best = NULL;
   double best_cost = 0;
 
@@ -366,14 +367,14 @@
 static void
 want_advice (struct mt_scheduler *sched, const struct mt_task *task, int64_t now)
 {
-  struct mt_advice *advice = mt_task_advice (sched, task);
+  struct mt_step_tickets *advice = mt_task_step_tickets (sched, task);
 
   if (advice == NULL)
     {
       char name[80];
 
       mt_task_step_name (task, name, sizeof name);
-      advice = g_new0 (struct mt_advice, 1);
+      advice = g_new0 (struct mt_step_tickets, 1);
       advice->step_name = g_strdup (name);
       advice->tickets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, mt_ticket_free);
       g_hash_table_insert (sched->advices, advice->step_name, advice);
@@ -439,8 +440,7 @@
   if (task->not_before > site->now)
     return true;
   if (is_hopeless (site, mt_task_step (task))
-      || !mt_account_has_room (site->sched, task->occ->job->account, mt_task_step (task),
-                               site->now))
+      || !mt_account_allows (site->sched, task->occ->job->account, mt_task_step (task), site->now))
     return false;
   w = choose (site, task);
   if (w == NULL)
@@ -465,7 +465,7 @@
 static void
 unplace (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
-  mt_task_wait (sched, task, now);
+  mt_task_set_waiting (sched, task, now);
   task->run--;
 }
 
@@ -517,7 +517,7 @@
       before = l->prev;
       /* One that is to be repeated may have begun. */
       if (task->repeats == 0)
-        mt_task_wait (sched, task, now);
+        mt_task_set_waiting (sched, task, now);
     }
   return UNSENT_MOST - MIN (sched->starts.length, UNSENT_MOST);
 }
@@ -547,7 +547,7 @@
 
   g_hash_table_iter_init (&it, site->sched->workers);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
-    if (mt_worker_takes (w, site->now))
+    if (mt_worker_accepts_work (w, site->now))
       {
         g_ptr_array_add (site->takers, w);
         sum += w->slow;
@@ -596,8 +596,8 @@
 static bool
 is_over_quota (const struct site *site, const struct bundle *b)
 {
-  return !mt_account_has_room (site->sched, b->occ->job->account,
-                               &b->occ->job->spec->steps[b->step], site->now);
+  return !mt_account_allows (site->sched, b->occ->job->account, &b->occ->job->spec->steps[b->step],
+                             site->now);
 }
 
 void
--- a/core/scheduler/scheduler_record.c
+++ b/core/scheduler/scheduler_record.c
@@ -61,7 +61,7 @@
 }
 
 char *
-mt_scheduler_record (const struct mt_scheduler *sched, const char *id)
+mt_scheduler_job_record (const struct mt_scheduler *sched, const char *id)
 {
   const struct mt_job *job = g_hash_table_lookup (sched->jobs, id);
   GString *out;
@@ -102,7 +102,7 @@
 
   if (number >= job->n_occurrences)
     return NULL;
-  occ = mt_job_occurrence (job, number);
+  occ = mt_job_get_occurrence (job, number);
   if (occ->since == 0)
     occ->since = job->submitted;
   return occ;
@@ -171,8 +171,8 @@
   task->state = MT_TASK_ORDERED;
   task->inherited = true;
   task->begun_before = begun;
-  w->lapse_by
-      = MAX (w->lapse_by, now + sched->settings.max_hold_ms * 1000 / (1000 - MT_CLOCK_SLOW));
+  w->lapse_by = MAX (w->lapse_by,
+                     now + sched->settings.max_lease_ms * 1000 / (1000 - MT_CLOCK_DRIFT_PER_MILLE));
 }
 
 bool
@@ -193,9 +193,9 @@
     }
   job->revision = revision;
   state_name = json_string_value (json_object_get (root, "s"));
-  state = state_name != NULL ? mt_job_state_read (mt_str_from (state_name)) : MT_JOB_UNKNOWN;
+  state = state_name != NULL ? mt_job_state_parse (mt_str_from (state_name)) : MT_JOB_UNKNOWN;
   if (json_integer_value (json_object_get (root, "b")) != 0)
-    mt_job_begin (job);
+    mt_job_mark_begun (job);
   restore_done (sched, job, json_object_get (root, "d"), now);
   json_array_foreach (json_object_get (root, "t"), i, row) restore_task (sched, job, row, now);
   job->dirty = false;
@@ -211,7 +211,7 @@
     mt_job_stop_tasks (sched, job, now);
   else
     {
-      mt_job_check_end (sched, job, now);
+      mt_job_complete_if_done (sched, job, now);
       mt_job_give_up_lost (sched, job, now);
     }
   json_decref (root);
--- a/core/scheduler/scheduler_tasks.c
+++ b/core/scheduler/scheduler_tasks.c
@@ -28,8 +28,8 @@
   snprintf (out, size, "%s.%u.%u", task->occ->job->spec->id, task->occ->number, task->step);
 }
 
-struct mt_advice *
-mt_task_advice (const struct mt_scheduler *sched, const struct mt_task *task)
+struct mt_step_tickets *
+mt_task_step_tickets (const struct mt_scheduler *sched, const struct mt_task *task)
 {
   char name[80];
 
@@ -81,7 +81,7 @@
 }
 
 void
-mt_task_unqueue (struct mt_scheduler *sched, struct mt_task *task)
+mt_task_dequeue (struct mt_scheduler *sched, struct mt_task *task)
 {
   if (!task->order_due)
     return;
@@ -95,13 +95,13 @@
 {
   struct mt_worker *w = task->worker;
 
-  mt_task_unqueue (sched, task);
+  mt_task_dequeue (sched, task);
   if (w == NULL)
     return;
   mt_task_end_isolation (task);
   g_queue_unlink (&w->tasks, &task->link);
   add_room (w, mt_task_step (task), -1);
-  mt_account_count (task->occ->job->account, mt_task_step (task), -1);
+  mt_account_add_usage (task->occ->job->account, mt_task_step (task), -1);
   task->worker = NULL;
   w->pace_at = 0;
 }
@@ -129,8 +129,8 @@
   g_queue_push_tail_link (&w->tasks, &task->link);
   add_room (w, mt_task_step (task), 1);
   mt_task_isolate (task);
-  mt_account_count (task->occ->job->account, mt_task_step (task), 1);
-  mt_job_mark (sched, task->occ->job);
+  mt_account_add_usage (task->occ->job->account, mt_task_step (task), 1);
+  mt_job_mark_dirty (sched, task->occ->job);
 }
 
 void
@@ -146,12 +146,12 @@
   task->occ->step_done[task->step]++;
   task->occ->n_done++;
   g_clear_pointer (&task->checkpoint, g_free);
-  mt_job_mark (sched, task->occ->job);
+  mt_job_mark_dirty (sched, task->occ->job);
 }
 
 /* The run is over and the task has to run again. */
 void
-mt_task_wait (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
+mt_task_set_waiting (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
   if (task->state == MT_TASK_WAITING || task->state == MT_TASK_DONE)
     return;
@@ -159,11 +159,11 @@
   task->state = MT_TASK_WAITING;
   task->since = now;
   task->occ->step_waiting[task->step]++;
-  mt_job_mark (sched, task->occ->job);
+  mt_job_mark_dirty (sched, task->occ->job);
   if (!task->done_elsewhere)
     return;
   mt_task_finish (sched, task, now);
-  mt_job_check_end (sched, task->occ->job, now);
+  mt_job_complete_if_done (sched, task->occ->job, now);
 }
 
 /* Ends what runs, or might. A task that was only placed has not been sent and just waits again. */
@@ -172,20 +172,20 @@
 {
   if (task->state == MT_TASK_PLACED && !task->occ->job->in_cycle)
     {
-      mt_task_wait (sched, task, now);
+      mt_task_set_waiting (sched, task, now);
       return;
     }
   if (task->state != MT_TASK_ORDERED && task->state != MT_TASK_RUNNING
       && task->state != MT_TASK_PLACED)
     return;
-  mt_task_unqueue (sched, task);
+  mt_task_dequeue (sched, task);
   task->state = MT_TASK_STOPPING;
   task->since = now;
   task->answered = 0;
   task->stop_answered = false;
   task->order_due = true;
   g_queue_push_tail (&sched->stops, task);
-  mt_job_mark (sched, task->occ->job);
+  mt_job_mark_dirty (sched, task->occ->job);
 }
 
 void
--- a/core/scheduler/scheduler_watch.c
+++ b/core/scheduler/scheduler_watch.c
@@ -37,9 +37,9 @@
   if (task->pace < 100 || now - task->moved < bound
       || w->listing_at - task->moved < bound - MT_HOLD_WAIT_MS)
     return;
-  mt_task_tell (sched, task, w, "TASK_STILL", "percent=%u for_ms=%" G_GINT64_FORMAT, task->percent,
-                now - task->moved);
-  mt_worker_evidence (sched, w, false, now);
+  mt_task_log_event (sched, task, w, "TASK_STILL", "percent=%u for_ms=%" G_GINT64_FORMAT,
+                     task->percent, now - task->moved);
+  mt_worker_record_outcome (sched, w, false, now);
   task->shunned = w;
   mt_task_stop (sched, task, now);
 }
@@ -50,7 +50,7 @@
   if (task->state == MT_TASK_RUNNING && w->silent_since == 0)
     watch_progress (sched, w, task, now);
   else if (task->state == MT_TASK_STOPPING && !task->order_due && !task->order_sent
-           && !task->stop_answered && now - task->since > MT_STOP_AGAIN_MS)
+           && !task->stop_answered && now - task->since > MT_STOP_RETRY_MS)
     {
       task->since = now;
       task->order_due = true;
@@ -89,13 +89,13 @@
     }
   /* Stopped without a place to go to it would be away for as long as none comes. On a worker that
    * leaves it is lost anyway. */
-  if (!w->leaving && !mt_task_has_place_elsewhere (sched, task, now))
+  if (!w->leaving && !mt_task_can_run_elsewhere (sched, task, now))
     return;
   /* Also one that is not at work itself waits: what is known of it is up to a hold old. */
   if (away >= MAX (step->max_unavailable, 1U)
       && (!w->leaving || now - w->leaving_since < LEAVING_PATIENCE_MS))
     return;
-  mt_task_tell (sched, task, w, "TASK_MOVED", "away=%u", away);
+  mt_task_log_event (sched, task, w, "TASK_MOVED", "away=%u", away);
   task->shunned = w;
   mt_task_stop (sched, task, now);
 }
@@ -118,7 +118,7 @@
 
   for (GList *l = w->tasks.head; l != NULL; l = l->next)
     if (!may_be_moved (l->data))
-      most = MAX (most, mt_task_left_ms (l->data, now));
+      most = MAX (most, mt_task_remaining_ms (l->data, now));
   return most;
 }
 
@@ -133,12 +133,12 @@
   for (GList *l = w->tasks.head; l != NULL; l = next)
     {
       struct mt_task *task = l->data;
-      int64_t left = mt_task_left_ms (task, now);
+      int64_t left = mt_task_remaining_ms (task, now);
 
       next = l->next;
-      if (!may_be_moved (task) || left < bound || !mt_task_has_place_elsewhere (sched, task, now))
+      if (!may_be_moved (task) || left < bound || !mt_task_can_run_elsewhere (sched, task, now))
         continue;
-      mt_task_tell (sched, task, w, "TASK_MOVED", "left_ms=%" G_GINT64_FORMAT, left);
+      mt_task_log_event (sched, task, w, "TASK_MOVED", "left_ms=%" G_GINT64_FORMAT, left);
       mt_task_stop (sched, task, now);
     }
 }
@@ -172,9 +172,9 @@
    * it is our own link that is late the worker may have done all of them, and have it to tell: they
    * are not free before it has been asked in time. */
   if ((w->silent_since != 0 || w->address == NULL) && now > w->lapse_by
-      && !mt_scheduler_doubts_itself (sched, now))
+      && !mt_scheduler_is_link_late (sched, now))
     {
-      mt_worker_release (sched, w, false, now, "lease over");
+      mt_worker_release_tasks (sched, w, false, now, "lease over");
       return;
     }
   for (GList *l = w->tasks.head; l != NULL; l = next)
--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -466,8 +466,9 @@
   g_hash_table_iter_init (&it, c->leaderships);
   while (g_hash_table_iter_next (&it, NULL, (void **) &d))
     {
-      struct mt_leader_turn turn
-          = { .had = d->free_since == 0, .free_since = d->free_since, .joined_at = c->joined_at };
+      struct mt_leader_candidacy turn = { .was_leader = d->free_since == 0,
+                                          .free_since = d->free_since,
+                                          .joined_at = c->joined_at };
 
       if (!d->wanted || d->trying || d->token != 0)
         continue;
@@ -476,7 +477,7 @@
       if (d->revision != 0)
         continue;
       turn.rank = rank (c, d);
-      if (mt_leader_may_take (&turn, now))
+      if (mt_leader_may_acquire (&turn, now))
         {
           try_leadership (c, d);
           return; /* one at a time, so that they spread by who has how many */
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -96,7 +96,7 @@
 
   if (pool == NULL)
     return;
-  mt_scheduler_worker_seen (mt_pool_scheduler (pool), &entry->worker, mt_loop_now ());
+  mt_scheduler_update_worker (mt_pool_scheduler (pool), &entry->worker, mt_loop_now ());
   mt_pool_wake (pool);
 }
 
@@ -119,14 +119,14 @@
       if (strcmp (route->pool, name) != 0)
         continue;
       mt_scheduler_set_route (mt_pool_scheduler (pool), route->name, &route->terms);
-      mt_scheduler_set_advice (mt_pool_scheduler (pool), route->name, route->advice);
+      mt_scheduler_require_tickets (mt_pool_scheduler (pool), route->name, route->advice);
     }
 }
 
 static void
 set_workspaces (const struct mt_fleet_config *config, struct mt_scheduler *sched)
 {
-  struct mt_workspace_terms terms = { 0 };
+  struct mt_workspace_limits terms = { 0 };
 
   for (size_t i = 0; i < config->n_pools; i++)
     terms.pools += !config->pools[i].standby;
@@ -156,10 +156,10 @@
 {
   const struct mt_fleet_bounds *b = &f->settings->bounds;
 
-  return (struct mt_scheduler_settings){ .hold_ms = MIN (HOLD_MS, b->max_hold_ms),
-                                         .max_hold_ms = b->max_hold_ms,
+  return (struct mt_scheduler_settings){ .lease_ms = MIN (HOLD_MS, b->max_hold_ms),
+                                         .max_lease_ms = b->max_hold_ms,
                                          .remote_factor = b->remote_factor,
-                                         .status_ms = (int64_t) (1000 * b->status_s),
+                                         .retention_ms = (int64_t) (1000 * b->status_s),
                                          .stop_grace_ms = b->stop_grace_ms };
 }
 
@@ -345,7 +345,7 @@
                          "used_cpu=%" G_GINT64_FORMAT " room_cpu=%" G_GINT64_FORMAT
                          " demand_cpu=%" G_GINT64_FORMAT " arriving_cpu=%" G_GINT64_FORMAT,
                          name, load.jobs, load.waiting, load.urgent, load.running, load.workers,
-                         load.silent, load.used_cpu, load.room_cpu, load.demand_cpu,
+                         load.silent, load.used_cpu, load.capacity_cpu, load.demand_cpu,
                          load.arriving_cpu);
     }
 }
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -409,7 +409,7 @@
       g_autofree char *bytes = mt_fleet_leader_serve (local, &texts, &len);
 
       if (bytes != NULL)
-        take_report (lead, name, message.number, (struct mt_str){ bytes, len });
+        take_report (lead, name, message.sequence, (struct mt_str){ bytes, len });
     }
   else if (holder != NULL)
     {
@@ -418,7 +418,7 @@
       };
       struct named_call *call = new_named_call (lead, name);
 
-      call->number = message.number;
+      call->number = message.sequence;
       mt_mesh_send (lead->options.mesh, holder, MT_MESH_CORDON, &args, REPORT_MS, on_report, call);
     }
 }
@@ -437,7 +437,8 @@
 take_grants (struct mt_scheduler *sched, struct mt_str bytes, int64_t now)
 {
   struct mt_grant_message message;
-  bool taken = mt_grants_unpack (bytes, &message) && mt_scheduler_granted (sched, &message, now);
+  bool taken
+      = mt_grants_unpack (bytes, &message) && mt_scheduler_apply_grants (sched, &message, now);
 
   mt_grants_clear (&message);
   return taken;
@@ -455,13 +456,13 @@
   if (!mt_pool_is_loaded (pool) || !take_grants (mt_pool_scheduler (pool), notes->grants, now))
     return NULL;
   if (mt_str_to_u64 (notes->room, &room))
-    mt_scheduler_promise (mt_pool_scheduler (pool), (int64_t) room, now + CORDON_MS);
+    mt_scheduler_expect_capacity (mt_pool_scheduler (pool), (int64_t) room, now + CORDON_MS);
   for (char **id = ended; *id != NULL; id++)
     mt_scheduler_worker_ended (mt_pool_scheduler (pool), *id, now, "its machine was ordered away");
   for (char **id = cordon; *id != NULL; id++)
     mt_scheduler_cordon (mt_pool_scheduler (pool), *id, now + CORDON_MS, true);
   for (char **id = due; *id != NULL; id++)
-    mt_scheduler_due (mt_pool_scheduler (pool), *id, now + CORDON_MS);
+    mt_scheduler_announce_drain (mt_pool_scheduler (pool), *id, now + CORDON_MS);
   mt_pool_wake (pool);
   return mt_pool_report_pack (mt_pool_scheduler (pool), now, len);
 }
--- a/fleet/frontend_ask.c
+++ b/fleet/frontend_ask.c
@@ -167,7 +167,7 @@
 {
   struct question *q = data;
   enum mt_job_state state
-      = args != NULL && args->n == 1 ? mt_job_state_read (args->at[0]) : MT_JOB_UNKNOWN;
+      = args != NULL && args->n == 1 ? mt_job_state_parse (args->at[0]) : MT_JOB_UNKNOWN;
 
   if (state == MT_JOB_UNKNOWN)
     {
@@ -241,7 +241,7 @@
   if (local != NULL)
     {
       g_autofree char *body = frontend->options.words->ops->pending (
-          mt_scheduler_pending (mt_pool_scheduler (local), route->name));
+          mt_scheduler_pending_jobs (mt_pool_scheduler (local), route->name));
 
       mt_frontend_answer (exchange, 200, body, 0);
       free_question (q);
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -44,8 +44,9 @@
 struct mt_admission *
 mt_frontend_new_admission (void)
 {
-  static const struct mt_admission_settings settings
-      = { .per_batch = PER_TXN, .at_a_time = TXNS_AT_A_TIME, .patience_ms = MT_FRONTEND_SETTLE_MS };
+  static const struct mt_admission_settings settings = { .batch_size = PER_TXN,
+                                                         .parallel_writes = TXNS_AT_A_TIME,
+                                                         .max_wait_ms = MT_FRONTEND_SETTLE_MS };
 
   return mt_admission_create (&settings);
 }
@@ -246,7 +247,7 @@
 {
   struct txn *t = data;
 
-  mt_admission_stored (t->frontend->admission, mt_loop_now () - t->sent);
+  mt_admission_record_batch (t->frontend->admission, mt_loop_now () - t->sent);
   switch (reply->status)
     {
     case MT_KV_OK:
@@ -352,8 +353,8 @@
 
   if (local != NULL && mt_pool_is_loaded (local) && mt_cluster_is_sure (frontend->options.cluster))
     settle_outlook (
-        s,
-        mt_scheduler_outlook (mt_pool_scheduler (local), route, chain_ms, mt_loop_now ()).again_ms);
+        s, mt_scheduler_estimate_wait (mt_pool_scheduler (local), route, chain_ms, mt_loop_now ())
+               .retry_after_ms);
   else if (local != NULL || holder == NULL || mt_loop_now () < frontend->no_outlook_until)
     take_submit (s);
   else
--- a/fleet/grants_wire.c
+++ b/fleet/grants_wire.c
@@ -19,24 +19,24 @@
 }
 
 static void
-pack_room (msgpack_packer *packer, const struct mt_room *room)
+pack_room (msgpack_packer *packer, const struct mt_resources *room)
 {
-  msgpack_pack_array (packer, MT_ROOM_PARTS);
-  for (unsigned i = 0; i < MT_ROOM_PARTS; i++)
-    msgpack_pack_int64 (packer, MAX (mt_room_get (room, i), 0));
+  msgpack_pack_array (packer, MT_RESOURCE_KINDS);
+  for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
+    msgpack_pack_int64 (packer, MAX (mt_resources_get (room, i), 0));
 }
 
 static bool
-unpack_room (const msgpack_object *object, struct mt_room *out)
+unpack_room (const msgpack_object *object, struct mt_resources *out)
 {
-  const msgpack_object *f = mt_pack_get_array (object, MT_ROOM_PARTS);
+  const msgpack_object *f = mt_pack_get_array (object, MT_RESOURCE_KINDS);
   uint64_t value;
 
-  for (unsigned i = 0; f != NULL && i < MT_ROOM_PARTS; i++)
+  for (unsigned i = 0; f != NULL && i < MT_RESOURCE_KINDS; i++)
     {
       if (!mt_pack_get_u64 (&f[i], INT64_MAX, &value))
         return false;
-      *mt_room_part (out, i) = (int64_t) value;
+      *mt_resources_field (out, i) = (int64_t) value;
     }
   return f != NULL;
 }
@@ -65,14 +65,14 @@
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
   msgpack_pack_array (&packer, MESSAGE_FIELDS);
   msgpack_pack_int64 (&packer, message->token);
-  msgpack_pack_uint64 (&packer, message->number);
+  msgpack_pack_uint64 (&packer, message->sequence);
   pack_bool (&packer, message->all);
   msgpack_pack_array (&packer, message->n_grants);
   for (size_t i = 0; i < message->n_grants; i++)
     {
       msgpack_pack_array (&packer, GRANT_FIELDS);
       mt_pack_bin (&packer, mt_str_from (message->grants[i].workspace));
-      pack_room (&packer, &message->grants[i].room);
+      pack_room (&packer, &message->grants[i].resources);
     }
   *len = buffer.size;
   bytes = g_memdup2 (buffer.data, buffer.size);
@@ -96,7 +96,7 @@
       if (f == NULL || !unpack_name (&f[0], &rows[i].workspace))
         return false;
       out->n_grants++;
-      if (!unpack_room (&f[1], &rows[i].room))
+      if (!unpack_room (&f[1], &rows[i].resources))
         return false;
     }
   return true;
@@ -109,7 +109,8 @@
   uint64_t token;
 
   if (f == NULL || !mt_pack_get_u64 (&f[0], INT64_MAX, &token)
-      || !mt_pack_get_u64 (&f[1], UINT64_MAX, &out->number) || !mt_pack_get_bool (&f[2], &out->all))
+      || !mt_pack_get_u64 (&f[1], UINT64_MAX, &out->sequence)
+      || !mt_pack_get_bool (&f[2], &out->all))
     return false;
   out->token = (int64_t) token;
   return read_grants (&f[3], out);
@@ -150,7 +151,7 @@
       mt_pack_bin (packer, mt_str_from (views[i].workspace));
       pack_room (packer, &views[i].used);
       pack_room (packer, &views[i].waiting);
-      pack_room (packer, &views[i].largest);
+      pack_room (packer, &views[i].largest_waiting);
       pack_room (packer, &views[i].granted);
       pack_bool (packer, views[i].has_grant);
     }
@@ -175,7 +176,8 @@
         return false;
       (*n)++;
       if (!unpack_room (&f[1], &views[i].used) || !unpack_room (&f[2], &views[i].waiting)
-          || !unpack_room (&f[3], &views[i].largest) || !unpack_room (&f[4], &views[i].granted)
+          || !unpack_room (&f[3], &views[i].largest_waiting)
+          || !unpack_room (&f[4], &views[i].granted)
           || !mt_pack_get_bool (&f[5], &views[i].has_grant))
         return false;
     }
--- a/fleet/neighbours.c
+++ b/fleet/neighbours.c
@@ -32,7 +32,7 @@
       reply_text (call, mt_job_state_names[mt_pool_state_for (pool, what, workspace)]);
       return;
     }
-  g_snprintf (text, sizeof text, "%u", mt_scheduler_pending (mt_pool_scheduler (pool), what));
+  g_snprintf (text, sizeof text, "%u", mt_scheduler_pending_jobs (mt_pool_scheduler (pool), what));
   reply_text (call, text);
 }
 
@@ -45,7 +45,7 @@
 {
   g_autofree char *route = g_strndup (args->at[1].data, args->at[1].len);
   unsigned long long chain_ms = 0;
-  struct mt_outlook outlook;
+  struct mt_wait_estimate outlook;
   char text[24];
 
   if (!mt_pool_is_loaded (pool) || !mt_cluster_is_sure (n->cluster)
@@ -54,9 +54,9 @@
       mt_mesh_reply (call, NULL);
       return;
     }
-  outlook
-      = mt_scheduler_outlook (mt_pool_scheduler (pool), route, (int64_t) chain_ms, mt_loop_now ());
-  g_snprintf (text, sizeof text, "%" G_GINT64_FORMAT, outlook.again_ms);
+  outlook = mt_scheduler_estimate_wait (mt_pool_scheduler (pool), route, (int64_t) chain_ms,
+                                        mt_loop_now ());
+  g_snprintf (text, sizeof text, "%" G_GINT64_FORMAT, outlook.retry_after_ms);
   reply_text (call, text);
 }
 
--- a/fleet/pool.c
+++ b/fleet/pool.c
@@ -133,7 +133,7 @@
             return false;
           continue;
         }
-      mt_scheduler_set_revision (pool->sched, mt_pool_key_id (item->key), item->revision);
+      mt_scheduler_set_job_revision (pool->sched, mt_pool_key_id (item->key), item->revision);
     }
   return true;
 }
@@ -153,7 +153,7 @@
     {
     case MT_KV_OK:
       for (guint i = 0; i < w->ids->len; i++)
-        mt_scheduler_set_revision (pool->sched, w->ids->pdata[i], reply->revision);
+        mt_scheduler_set_job_revision (pool->sched, w->ids->pdata[i], reply->revision);
       end_write (w);
       return;
     case MT_KV_CONFLICT:
@@ -190,7 +190,7 @@
   for (guint i = 0; i < w->ids->len; i++)
     {
       const char *id = w->ids->pdata[i];
-      char *record = mt_scheduler_record (pool->sched, id);
+      char *record = mt_scheduler_job_record (pool->sched, id);
 
       if (record == NULL)
         continue;
@@ -198,7 +198,7 @@
       puts[n].value = mt_str_from (record);
       puts[n].lease = 0;
       expects[1 + n].key = puts[n].key;
-      expects[1 + n].revision = mt_scheduler_revision (pool->sched, id);
+      expects[1 + n].revision = mt_scheduler_job_revision (pool->sched, id);
       n++;
     }
   txn.n_expects = 1 + n;
@@ -299,10 +299,10 @@
   struct mt_scheduler *sched = s->pool->sched;
 
   for (char **row = rows; !s->pool->destroyed && row != NULL && row[0] != NULL; row += 2)
-    mt_scheduler_advised (sched, s->task, row[0], row[1], s->at + validity_ms);
+    mt_scheduler_add_ticket (sched, s->task, row[0], row[1], s->at + validity_ms);
   if (!s->pool->destroyed)
     {
-      mt_scheduler_advice_answered (sched, s->task, mt_loop_now (), rows != NULL);
+      mt_scheduler_tickets_answered (sched, s->task, mt_loop_now (), rows != NULL);
       wake (s->pool);
     }
   free_sent (s);
@@ -316,7 +316,7 @@
 
   if (order->kind == MT_ORDER_HOLD)
     workers->ops->hold (workers->ctx, order, pool->options.token, on_hold, s);
-  else if (order->kind == MT_ORDER_ADVISE)
+  else if (order->kind == MT_ORDER_REQUEST_TICKETS)
     workers->ops->advise (workers->ctx, order, on_advice, s);
   else
     workers->ops->order (workers->ctx, order, pool->options.token, on_order, s);
@@ -345,7 +345,7 @@
 {
   int64_t now = mt_loop_now ();
 
-  mt_scheduler_link_waits (pool->sched, pool->options.link_wait_ms (pool->options.ctx), now);
+  mt_scheduler_set_link_delay (pool->sched, pool->options.link_wait_ms (pool->options.ctx), now);
   return mt_scheduler_next_order (pool->sched, now, order);
 }
 
@@ -362,7 +362,7 @@
       mt_order_clear (&order);
     }
   hold_on (pool);
-  if (mt_scheduler_is_fenced_off (pool->sched))
+  if (mt_scheduler_is_fenced (pool->sched))
     give_up (pool, "a worker has seen a higher token");
 }
 
@@ -376,7 +376,7 @@
   w->pool->forgetting = false;
   if (!w->pool->destroyed && reply->status == MT_KV_OK)
     for (guint i = 0; i < w->ids->len; i++)
-      mt_scheduler_forget (w->pool->sched, w->ids->pdata[i]);
+      mt_scheduler_remove_job (w->pool->sched, w->ids->pdata[i]);
   unref (w->pool);
   g_ptr_array_unref (w->ids);
   g_free (w);
@@ -386,7 +386,7 @@
 static void
 forget_expired (struct mt_pool *pool, int64_t now)
 {
-  const char *id = mt_scheduler_expired (pool->sched, now);
+  const char *id = mt_scheduler_expired_job (pool->sched, now);
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   struct mt_kv_expect expect = { pool->leader_key, pool->options.token };
   struct mt_kv_txn txn = { .expects = &expect, .n_expects = 1 };
@@ -418,7 +418,7 @@
     return;
   pool->waking = true;
   ref (pool);
-  if (mt_scheduler_wants_cycle (pool->sched, now))
+  if (mt_scheduler_needs_cycle (pool->sched, now))
     {
       if (now - pool->cycle_began >= CYCLE_MS)
         begin_cycle (pool, now);
@@ -537,7 +537,7 @@
   g_autoptr (GError) error = NULL;
   struct mt_job_spec *spec = NULL;
 
-  if (mt_scheduler_knows (pool->sched, id))
+  if (mt_scheduler_has_job (pool->sched, id))
     return;
   if (mt_pool_read_value (value, &submission))
     spec = pool->options.words->ops->job (id, submission.route, submission.body, &error);
@@ -595,7 +595,7 @@
   pool->options.name = pool->options.sched.name = pool->name;
   pool->leader_key = mt_cluster_leader_key (options->name);
   pool->sched = mt_scheduler_create (&pool->options.sched);
-  mt_scheduler_on_told (pool->sched, on_told, pool);
+  mt_scheduler_set_event_callback (pool->sched, on_told, pool);
   pool->early_cancels = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   pool->tick = mt_timer_create (base, on_tick, pool);
   pool->load_timer = mt_timer_create (base, load_page, pool);
@@ -630,11 +630,11 @@
 enum mt_job_state
 mt_pool_state_for (const struct mt_pool *pool, const char *id, const char *workspace)
 {
-  const char *owner = mt_scheduler_workspace (pool->sched, id);
+  const char *owner = mt_scheduler_job_workspace (pool->sched, id);
 
   if (owner == NULL || !mt_pool_may_see (owner, workspace))
     return MT_JOB_UNKNOWN;
-  return mt_scheduler_state (pool->sched, id);
+  return mt_scheduler_job_state (pool->sched, id);
 }
 
 int64_t
--- a/fleet/pool_keys.c
+++ b/fleet/pool_keys.c
@@ -58,7 +58,7 @@
   end = memchr (name, '"', record.len - head.len);
   if (end == NULL)
     return MT_JOB_UNKNOWN;
-  return mt_job_state_read ((struct mt_str){ name, (size_t) (end - name) });
+  return mt_job_state_parse ((struct mt_str){ name, (size_t) (end - name) });
 }
 
 char *
--- a/fleet/pool_report.c
+++ b/fleet/pool_report.c
@@ -29,11 +29,11 @@
   msgpack_pack_unsigned_int (packer, w->tasks);
   msgpack_pack_unsigned_int (packer, w->long_running);
   msgpack_pack_unsigned_int (packer, flags);
-  msgpack_pack_int64 (packer, MAX (w->room.cpu, 0));
+  msgpack_pack_int64 (packer, MAX (w->resources.cpu, 0));
   msgpack_pack_int64 (packer, MAX (w->used.cpu, 0));
-  msgpack_pack_int64 (packer, MAX (w->room.mem, 0));
+  msgpack_pack_int64 (packer, MAX (w->resources.mem, 0));
   msgpack_pack_int64 (packer, MAX (w->used.mem, 0));
-  msgpack_pack_int64 (packer, MAX (w->free_ms, 0));
+  msgpack_pack_int64 (packer, MAX (w->batch_remaining_ms, 0));
   msgpack_pack_unsigned_int (packer, w->drain_rounds);
 }
 
@@ -46,15 +46,15 @@
   msgpack_pack_unsigned_int (packer, load->urgent);
   msgpack_pack_unsigned_int (packer, load->running);
   msgpack_pack_int64 (packer, MAX (load->demand_cpu, 0));
-  msgpack_pack_int64 (packer, MAX (load->room_cpu, 0));
+  msgpack_pack_int64 (packer, MAX (load->capacity_cpu, 0));
   msgpack_pack_int64 (packer, MAX (load->arriving_cpu, 0));
   msgpack_pack_int64 (packer, MAX (load->used_cpu, 0));
   msgpack_pack_int64 (packer, MAX (load->urgent_used_cpu, 0));
   msgpack_pack_unsigned_int (packer, load->workers);
   msgpack_pack_unsigned_int (packer, load->silent);
-  msgpack_pack_unsigned_int (packer, load->stranded);
-  msgpack_pack_int64 (packer, MAX (load->soon_cpu, 0));
-  msgpack_pack_int64 (packer, MAX (load->late_cpu, 0));
+  msgpack_pack_unsigned_int (packer, load->unplaceable);
+  msgpack_pack_int64 (packer, MAX (load->upcoming_cpu, 0));
+  msgpack_pack_int64 (packer, MAX (load->overdue_cpu, 0));
 }
 
 char *
@@ -106,12 +106,12 @@
          && mt_pack_get_unsigned (&f[1], &out->waiting)
          && mt_pack_get_unsigned (&f[2], &out->urgent)
          && mt_pack_get_unsigned (&f[3], &out->running) && get_i64 (&f[4], &out->demand_cpu)
-         && get_i64 (&f[5], &out->room_cpu) && get_i64 (&f[6], &out->arriving_cpu)
+         && get_i64 (&f[5], &out->capacity_cpu) && get_i64 (&f[6], &out->arriving_cpu)
          && get_i64 (&f[7], &out->used_cpu) && get_i64 (&f[8], &out->urgent_used_cpu)
          && mt_pack_get_unsigned (&f[9], &out->workers)
          && mt_pack_get_unsigned (&f[10], &out->silent)
-         && mt_pack_get_unsigned (&f[11], &out->stranded) && get_i64 (&f[12], &out->soon_cpu)
-         && get_i64 (&f[13], &out->late_cpu);
+         && mt_pack_get_unsigned (&f[11], &out->unplaceable) && get_i64 (&f[12], &out->upcoming_cpu)
+         && get_i64 (&f[13], &out->overdue_cpu);
 }
 
 static bool
@@ -123,9 +123,10 @@
 
   if (f == NULL || !mt_pack_get_bin (&f[0], &id) || !mt_pack_get_unsigned (&f[1], &out->tasks)
       || !mt_pack_get_unsigned (&f[2], &out->long_running) || !mt_pack_get_unsigned (&f[3], &flags)
-      || !get_i64 (&f[4], &out->room.cpu) || !get_i64 (&f[5], &out->used.cpu)
-      || !get_i64 (&f[6], &out->room.mem) || !get_i64 (&f[7], &out->used.mem)
-      || !get_i64 (&f[8], &out->free_ms) || !mt_pack_get_unsigned (&f[9], &out->drain_rounds))
+      || !get_i64 (&f[4], &out->resources.cpu) || !get_i64 (&f[5], &out->used.cpu)
+      || !get_i64 (&f[6], &out->resources.mem) || !get_i64 (&f[7], &out->used.mem)
+      || !get_i64 (&f[8], &out->batch_remaining_ms)
+      || !mt_pack_get_unsigned (&f[9], &out->drain_rounds))
     return false;
   out->id = g_strndup (id.data, id.len);
   out->cordoned = flags & FLAG_CORDONED;
--- a/fleet/ports.h
+++ b/fleet/ports.h
@@ -155,7 +155,7 @@
   char *zone;
   char *rack;
   char *worker; /* its present life; NULL where there is none */
-  struct mt_room room;
+  struct mt_resources room;
 };
 
 /* machines: NULL where there was no answer. */
@@ -205,7 +205,7 @@
   char *host;
   char *prefix;
   char *pool;
-  struct mt_route_terms terms;
+  struct mt_route_policy terms;
   bool advice;  /* only workers named by the advisor may run its steps */
   bool keyless; /* its callers need no key */
 };
--- a/include/medlartrack/admission.h
+++ b/include/medlartrack/admission.h
@@ -10,16 +10,16 @@
 
 struct mt_admission_settings
 {
-  unsigned per_batch;  /* submissions of one write */
-  unsigned at_a_time;  /* writes under way together */
-  int64_t patience_ms; /* what waits longer is told that its outcome is unknown */
+  unsigned batch_size;      /* submissions of one write */
+  unsigned parallel_writes; /* writes under way together */
+  int64_t max_wait_ms;      /* what waits longer is told that its outcome is unknown */
 };
 
 struct mt_admission *mt_admission_create (const struct mt_admission_settings *settings);
 void mt_admission_destroy (struct mt_admission *admission);
 
 /* A batch was answered after so long. */
-void mt_admission_stored (struct mt_admission *admission, int64_t took_ms);
+void mt_admission_record_batch (struct mt_admission *admission, int64_t took_ms);
 /* The wait of one that comes behind `waiting` others. */
 int64_t mt_admission_wait_ms (const struct mt_admission *admission, unsigned waiting);
 /* False where it could not be stored within patience_ms: it is to be refused at once, since nothing
--- a/include/medlartrack/controller.h
+++ b/include/medlartrack/controller.h
@@ -33,7 +33,7 @@
   const char *worker; /* its present life; NULL for none */
   bool up;
   bool in_upkeep; /* down for its upkeep, whoever ordered that */
-  struct mt_room room;
+  struct mt_resources room;
 };
 
 /* All machines that there are. asked: when the list was asked for; orders given later are newer. */
--- a/include/medlartrack/job_spec.h
+++ b/include/medlartrack/job_spec.h
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 /* Processors in thousandths of a core, memory in MB, accelerators by number. */
-struct mt_room
+struct mt_resources
 {
   int64_t cpu;
   int64_t mem;
@@ -16,15 +16,15 @@
 };
 
 /* Its figures by number, for what is done with each alike. */
-#define MT_ROOM_PARTS 3
+#define MT_RESOURCE_KINDS 3
 static inline int64_t *
-mt_room_part (struct mt_room *room, unsigned part)
+mt_resources_field (struct mt_resources *room, unsigned part)
 {
   return part == 0 ? &room->cpu : part == 1 ? &room->mem : &room->gpu;
 }
 
 static inline int64_t
-mt_room_get (const struct mt_room *room, unsigned part)
+mt_resources_get (const struct mt_resources *room, unsigned part)
 {
   return part == 0 ? room->cpu : part == 1 ? room->mem : room->gpu;
 }
@@ -32,7 +32,7 @@
 struct mt_step
 {
   unsigned count; /* tasks */
-  struct mt_room need;
+  struct mt_resources need;
   int64_t estimate_ms; /* the caller's guess at one task's run time */
 
   unsigned n_after; /* steps that must have ended first */
--- a/include/medlartrack/leader_rank.h
+++ b/include/medlartrack/leader_rank.h
@@ -21,9 +21,9 @@
                          size_t n,
                          size_t self);
 
-struct mt_leader_turn
+struct mt_leader_candidacy
 {
-  bool had;           /* it was this daemon's when all leases ended */
+  bool was_leader;    /* it was this daemon's when all leases ended */
   unsigned rank;      /* of this daemon, as mt_leader_rank has it */
   int64_t free_since; /* milliseconds, as all of these */
   int64_t joined_at;  /* when this daemon's own key was written last */
@@ -33,6 +33,6 @@
  * for those before it, and all wait after they have joined until the others have shown up: with a
  * table of members that is empty after an outage, each daemon would come first, and a small machine
  * would lead the pool that surges. */
-bool mt_leader_may_take (const struct mt_leader_turn *turn, int64_t now);
+bool mt_leader_may_acquire (const struct mt_leader_candidacy *turn, int64_t now);
 
 #endif
--- a/include/medlartrack/workspaces.h
+++ b/include/medlartrack/workspaces.h
@@ -16,8 +16,8 @@
 struct mt_workspace
 {
   char *name;
-  struct mt_room quota; /* running at a time, in all pools together; 0 for no limit */
-  int64_t rate;         /* jobs a second that are its due; 0 for no limit */
+  struct mt_resources quota; /* running at a time, in all pools together; 0 for no limit */
+  int64_t rate;              /* jobs a second that are its due; 0 for no limit */
   unsigned n_keys;
 };
 
@@ -30,7 +30,7 @@
  * taken, or a limit is negative. */
 bool mt_workspaces_add (struct mt_workspaces *list,
                         const char *name,
-                        const struct mt_room *quota,
+                        const struct mt_resources *quota,
                         int64_t rate,
                         GError **error);
 /* To the workspace added last. False with an error that never shows the key: it is empty, too long,
--- a/tests/config/test_workspaces.c
+++ b/tests/config/test_workspaces.c
@@ -7,14 +7,14 @@
 
 #include <cmocka.h>
 
-static const struct mt_room no_limit;
+static const struct mt_resources no_limit;
 
 static struct mt_workspaces *
 two_workspaces (void)
 {
   struct mt_workspaces *list = mt_workspaces_create ();
 
-  assert_true (mt_workspaces_add (list, "yard", &(struct mt_room){ .cpu = 4000 }, 12, NULL));
+  assert_true (mt_workspaces_add (list, "yard", &(struct mt_resources){ .cpu = 4000 }, 12, NULL));
   assert_true (mt_workspaces_add_key (list, "key-of-the-yard", NULL));
   assert_true (mt_workspaces_add_key (list, "second-key-of-the-yard", NULL));
   assert_true (mt_workspaces_add (list, "press", &no_limit, 0, NULL));
@@ -83,7 +83,7 @@
       assert_true (strlen (error->message) < 200);
     }
   assert_false (mt_workspaces_add (list, "yard", &no_limit, 0, NULL));
-  assert_false (mt_workspaces_add (list, "x", &(struct mt_room){ .mem = -1 }, 0, NULL));
+  assert_false (mt_workspaces_add (list, "x", &(struct mt_resources){ .mem = -1 }, 0, NULL));
   assert_false (mt_workspaces_add (list, "x", &no_limit, -1, NULL));
   assert_false (mt_workspaces_add_key (list, "", NULL));
   assert_false (mt_workspaces_add_key (list, NULL, NULL));
--- a/tests/fleet/test_grants_wire.c
+++ b/tests/fleet/test_grants_wire.c
@@ -9,7 +9,7 @@
 
 static const struct mt_grant grants[] = { { "yard", { 4000, 512, 0 } }, { "press", { 0, 1, 2 } } };
 static const struct mt_grant_message sample
-    = { .token = 7, .number = 41, .all = true, .grants = grants, .n_grants = 2 };
+    = { .token = 7, .sequence = 41, .all = true, .grants = grants, .n_grants = 2 };
 
 /* Guards against a share of a quota that is read as another's, or as another figure. */
 static void
@@ -21,13 +21,14 @@
 
   assert_true (mt_grants_unpack ((struct mt_str){ bytes, len }, &read));
   assert_int_equal (read.token, 7);
-  assert_int_equal (read.number, 41);
+  assert_int_equal (read.sequence, 41);
   assert_true (read.all);
   assert_int_equal (read.n_grants, 2);
   for (size_t i = 0; i < read.n_grants; i++)
     {
       assert_string_equal (read.grants[i].workspace, grants[i].workspace);
-      assert_memory_equal (&read.grants[i].room, &grants[i].room, sizeof grants[i].room);
+      assert_memory_equal (&read.grants[i].resources, &grants[i].resources,
+                           sizeof grants[i].resources);
     }
   mt_grants_clear (&read);
 }
@@ -54,7 +55,7 @@
   const struct mt_account_view view = { .workspace = "yard",
                                         .used = { 1, 2, 3 },
                                         .waiting = { 4, 5, 6 },
-                                        .largest = { 7, 8, 9 },
+                                        .largest_waiting = { 7, 8, 9 },
                                         .granted = { 10, 11, 12 },
                                         .has_grant = true };
   struct mt_account_view *read;
--- a/tests/fleet/test_pool_report.c
+++ b/tests/fleet/test_pool_report.c
@@ -32,12 +32,12 @@
   assert_int_equal (report.n_workers, 1);
   assert_string_equal (report.workers[0].id, "i-0");
   assert_int_equal (report.workers[0].tasks, 3);
-  assert_true (view.free_ms > 1000);
-  assert_int_equal (report.workers[0].free_ms, view.free_ms);
+  assert_true (view.batch_remaining_ms > 1000);
+  assert_int_equal (report.workers[0].batch_remaining_ms, view.batch_remaining_ms);
   assert_true (report.workers[0].cordoned);
   assert_false (report.workers[0].leaving);
   assert_int_equal (report.workers[0].used.cpu, 6000);
-  assert_int_equal (report.workers[0].room.mem, 32768);
+  assert_int_equal (report.workers[0].resources.mem, 32768);
   assert_memory_equal (&report.load, &load, sizeof load);
   mt_pool_report_clear (&report);
   world_destroy (world);
--- a/tests/scheduler/property_quota.cpp
+++ b/tests/scheduler/property_quota.cpp
@@ -130,7 +130,7 @@
 
     for (unsigned w = 0; w < workspaces; w++)
       {
-        struct mt_room quota = { quotas[w], 0, 0 };
+        struct mt_resources quota = { quotas[w], 0, 0 };
 
         mt_workspaces_add (list, names[w], &quota, 0, nullptr);
       }
@@ -145,7 +145,7 @@
   {
     for (unsigned w = 0; w < workspaces; w++)
       {
-        struct mt_workspace_terms terms = { { quotas[w], 0, 0 }, 0, pools };
+        struct mt_workspace_limits terms = { { quotas[w], 0, 0 }, 0, pools };
 
         mt_scheduler_set_workspace (worlds[pool]->sched, names[w], &terms);
       }
@@ -298,11 +298,11 @@
   size_t n;
 
   message.message.grants = message.rows.data ();
-  if (!mt_scheduler_granted (sched, &message.message, m.now))
+  if (!mt_scheduler_apply_grants (sched, &message.message, m.now))
     return;
   n = mt_scheduler_accounts (sched, views, workspaces);
   if (message.message.token == m.token && !m.unreachable[message.pool])
-    mt_grants_answered (m.grants, pool_names[message.pool], message.message.number, views, n,
+    mt_grants_answered (m.grants, pool_names[message.pool], message.message.sequence, views, n,
                         m.now);
 }
 
@@ -432,7 +432,7 @@
     settle (m);
     for (const Job &job : m.jobs)
       RC_ASSERT (job.cancelled
-                 || mt_scheduler_state (m.worlds[job.pool]->sched, job.id.c_str ())
+                 || mt_scheduler_job_state (m.worlds[job.pool]->sched, job.id.c_str ())
                         == MT_JOB_COMPLETED);
   });
 
--- a/tests/scheduler/property_scheduler.cpp
+++ b/tests/scheduler/property_scheduler.cpp
@@ -307,7 +307,7 @@
   const bool room = long_running * task_cpu < max_workers * m.world->workers[0].room.cpu;
   for (const Job &job : m.jobs)
     {
-      const enum mt_job_state state = mt_scheduler_state (m.world->sched, job.id.c_str ());
+      const enum mt_job_state state = mt_scheduler_job_state (m.world->sched, job.id.c_str ());
       unsigned running = 0;
 
       for (unsigned i = 0; i < job.count; i++)
--- a/tests/scheduler/test_admission.c
+++ b/tests/scheduler/test_admission.c
@@ -7,7 +7,7 @@
 #include <cmocka.h>
 
 static const struct mt_admission_settings settings
-    = { .per_batch = 15, .at_a_time = 2, .patience_ms = 1200 };
+    = { .batch_size = 15, .parallel_writes = 2, .max_wait_ms = 1200 };
 
 /* A calm store writes 30 submissions in 10 ms: a surge of thousands waits for less than the
  * patience, and nobody is refused. */
@@ -18,7 +18,7 @@
 
   assert_true (mt_admission_admits (admission, 0));
   for (int i = 0; i < 50; i++)
-    mt_admission_stored (admission, 10);
+    mt_admission_record_batch (admission, 10);
   assert_true (mt_admission_admits (admission, 3000));
   assert_int_equal (mt_admission_wait_ms (admission, 3000), 1010);
   mt_admission_destroy (admission);
@@ -31,11 +31,11 @@
 {
   struct mt_admission *admission = mt_admission_create (&settings);
 
-  mt_admission_stored (admission, 10);
-  mt_admission_stored (admission, 400);
+  mt_admission_record_batch (admission, 10);
+  mt_admission_record_batch (admission, 400);
   assert_true (mt_admission_admits (admission, 200));
   for (int i = 0; i < 20; i++)
-    mt_admission_stored (admission, 400);
+    mt_admission_record_batch (admission, 400);
   assert_true (mt_admission_admits (admission, 60));
   assert_false (mt_admission_admits (admission, 100));
   mt_admission_destroy (admission);
@@ -49,7 +49,7 @@
   struct mt_admission *admission = mt_admission_create (&settings);
 
   for (int i = 0; i < 20; i++)
-    mt_admission_stored (admission, 5000);
+    mt_admission_record_batch (admission, 5000);
   assert_true (mt_admission_admits (admission, 0));
   assert_false (mt_admission_admits (admission, 1));
   mt_admission_destroy (admission);
@@ -62,7 +62,7 @@
   struct mt_admission *admission = mt_admission_create (&settings);
 
   for (int i = 0; i < 20; i++)
-    mt_admission_stored (admission, 400);
+    mt_admission_record_batch (admission, 400);
   assert_int_equal (mt_admission_retry_after_s (admission, 300, 0.0), 5);
   assert_int_equal (mt_admission_retry_after_s (admission, 300, 0.999), 9);
   assert_int_equal (mt_admission_retry_after_s (admission, 0, 0.0), 1);
--- a/tests/scheduler/test_controller.c
+++ b/tests/scheduler/test_controller.c
@@ -43,7 +43,7 @@
                                                       .up = true,
                                                       .room = { .cpu = 16000, .mem = 32768 } };
       site->views[i] = (struct mt_worker_view){ .id = site->workers[i],
-                                                .room = { .cpu = 16000, .mem = 32768 } };
+                                                .resources = { .cpu = 16000, .mem = 32768 } };
     }
   return site;
 }
@@ -383,23 +383,23 @@
       left -= used;
       load.used_cpu += used;
       load.urgent_used_cpu += used;
-      load.soon_cpu += used;
+      load.upcoming_cpu += used;
       load.arriving_cpu = fleet->demand[pool];
-      load.room_cpu += 16000;
+      load.capacity_cpu += 16000;
       views[n++] = (struct mt_worker_view){ .id = fleet->workers[i],
                                             .tasks = fleet->holds[i].tasks > 0
                                                          ? fleet->holds[i].tasks
                                                          : used > 0 || (cordoned && fleet->sticky),
-                                            .free_ms = fleet->holds[i].free_ms,
+                                            .batch_remaining_ms = fleet->holds[i].free_ms,
                                             .cordoned = cordoned,
-                                            .room = { .cpu = 16000, .mem = 32768 },
+                                            .resources = { .cpu = 16000, .mem = 32768 },
                                             .used = { .cpu = used } };
     }
   mt_controller_notes_clear (&notes);
   load.urgent = left > 0 ? 10 : 0;
   load.demand_cpu = fleet->demand[pool];
-  load.late_cpu = fleet->late[pool];
-  load.stranded = fleet->stranded[pool];
+  load.overdue_cpu = fleet->late[pool];
+  load.unplaceable = fleet->stranded[pool];
   mt_controller_pool (fleet->controller, pools[pool], &load, views, n, fleet->now);
 }
 
--- a/tests/scheduler/test_crash_victims.c
+++ b/tests/scheduler/test_crash_victims.c
@@ -43,14 +43,14 @@
   world->run_ms = 200;
   world_submit (world, world_job ("ww", 16 * WORKERS, 1000, 200));
   assert_true (world_until (world, "ww", MT_JOB_COMPLETED, 2000));
-  mt_scheduler_on_told (world->sched, note_losses, &losses);
+  mt_scheduler_set_event_callback (world->sched, note_losses, &losses);
   world->run_ms = 1500;
   world_submit (world, world_job ("bb", 4, 1000, 1500));
   world_run (world, 100);
   world_add_crashing (world, "aa.0.0.0");
   world_submit (world, world_job ("aa", 6, 1000, 1000));
   world_run (world, 8 * WORLD_DOWN_MS);
-  assert_int_equal (mt_scheduler_state (world->sched, "bb"), MT_JOB_COMPLETED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "bb"), MT_JOB_COMPLETED);
   assert_in_range (losses.most, 0, 1);
   world_destroy (world);
 }
@@ -131,7 +131,7 @@
       g_autofree char *task = g_strdup_printf ("%s.0.0.0", id);
 
       if (load->crashing[i])
-        assert_int_equal (mt_scheduler_state (load->world->sched, id), MT_JOB_FAILED);
+        assert_int_equal (mt_scheduler_job_state (load->world->sched, id), MT_JOB_FAILED);
       assert_in_range (world_crashes_by (load->world, task), 0, MOST_STARTS);
     }
   assert_int_equal (load->world->twice, 0);
@@ -146,7 +146,7 @@
       g_autofree char *id = g_strdup_printf ("j%u", i);
 
       if (!load->crashing[i])
-        assert_int_equal (mt_scheduler_state (load->world->sched, id), MT_JOB_COMPLETED);
+        assert_int_equal (mt_scheduler_job_state (load->world->sched, id), MT_JOB_COMPLETED);
     }
 }
 
--- a/tests/scheduler/test_crashes.c
+++ b/tests/scheduler/test_crashes.c
@@ -69,7 +69,7 @@
   struct world *world = create (false);
 
   submit_crashing (world, "aa", 1);
-  for (unsigned i = 0; i < 12 && mt_scheduler_state (world->sched, "aa") != MT_JOB_FAILED; i++)
+  for (unsigned i = 0; i < 12 && mt_scheduler_job_state (world->sched, "aa") != MT_JOB_FAILED; i++)
     {
       g_autoptr (GPtrArray) specs = g_ptr_array_new ();
 
@@ -78,7 +78,7 @@
       world_take_over (world, specs);
     }
   world_run (world, LONG_MS);
-  assert_int_equal (mt_scheduler_state (world->sched, "aa"), MT_JOB_FAILED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_FAILED);
   assert_in_range (world_crashes_by (world, "aa.0.0.0"), 1, MOST_CRASHES);
   world_destroy (world);
 }
--- a/tests/scheduler/test_grants.c
+++ b/tests/scheduler/test_grants.c
@@ -27,7 +27,7 @@
 {
   struct mt_workspaces *list = mt_workspaces_create ();
 
-  assert_true (mt_workspaces_add (list, "yard", &(struct mt_room){ .cpu = quota }, 0, NULL));
+  assert_true (mt_workspaces_add (list, "yard", &(struct mt_resources){ .cpu = quota }, 0, NULL));
   mt_grants_configure (f->grants, pools, list);
   mt_workspaces_destroy (list);
 }
@@ -59,11 +59,11 @@
 
   if (!f->silent[i] && message.n_grants > 0)
     {
-      f->views[i].granted = message.grants[0].room;
+      f->views[i].granted = message.grants[0].resources;
       f->views[i].has_grant = true;
     }
   if (!f->silent[i] && !f->unheard[i])
-    mt_grants_answered (f->grants, pools[i], message.number, &f->views[i], 1, f->now);
+    mt_grants_answered (f->grants, pools[i], message.sequence, &f->views[i], 1, f->now);
   g_free ((struct mt_grant *) message.grants);
 }
 
@@ -203,7 +203,7 @@
   for (unsigned i = 0; i < 4; i++)
     {
       f->views[i].waiting.cpu = 2 * 9000;
-      f->views[i].largest.cpu = 9000;
+      f->views[i].largest_waiting.cpu = 9000;
     }
   for (unsigned round = 0; round < 400; round++)
     {
--- a/tests/scheduler/test_leader_rank.c
+++ b/tests/scheduler/test_leader_rank.c
@@ -65,27 +65,27 @@
 static void
 test_who_joins_first_waits_for_the_others (void **state)
 {
-  struct mt_leader_turn turn = { .rank = 0, .free_since = 1000, .joined_at = 5000 };
+  struct mt_leader_candidacy turn = { .rank = 0, .free_since = 1000, .joined_at = 5000 };
 
-  assert_false (mt_leader_may_take (&turn, 5100));
-  assert_true (mt_leader_may_take (&turn, 5400));
+  assert_false (mt_leader_may_acquire (&turn, 5100));
+  assert_true (mt_leader_may_acquire (&turn, 5400));
   turn.rank = 2; /* the larger ones have shown up meanwhile */
-  assert_false (mt_leader_may_take (&turn, 5400));
-  assert_true (mt_leader_may_take (&turn, 5600));
-  turn.had = true;
-  assert_true (mt_leader_may_take (&turn, 5000));
+  assert_false (mt_leader_may_acquire (&turn, 5400));
+  assert_true (mt_leader_may_acquire (&turn, 5600));
+  turn.was_leader = true;
+  assert_true (mt_leader_may_acquire (&turn, 5000));
 }
 
 /* In calm a leader dies: the first in rank takes its pool at once, the next one a little later. */
 static void
 test_calm_takeover_waits_for_rank_only (void **state)
 {
-  struct mt_leader_turn turn = { .rank = 0, .free_since = 90000, .joined_at = 1000 };
+  struct mt_leader_candidacy turn = { .rank = 0, .free_since = 90000, .joined_at = 1000 };
 
-  assert_true (mt_leader_may_take (&turn, 90000));
+  assert_true (mt_leader_may_acquire (&turn, 90000));
   turn.rank = 1;
-  assert_false (mt_leader_may_take (&turn, 90100));
-  assert_true (mt_leader_may_take (&turn, 90120));
+  assert_false (mt_leader_may_acquire (&turn, 90100));
+  assert_true (mt_leader_may_acquire (&turn, 90120));
 }
 
 int
--- a/tests/scheduler/test_scheduler.c
+++ b/tests/scheduler/test_scheduler.c
@@ -64,7 +64,7 @@
   mt_scheduler_restore (world->sched, "aa", record, 1, world->now);
   world_run (world, 1000);
   assert_int_equal (world_running (world, "aa.0.0.0"), 0);
-  assert_int_equal (mt_scheduler_state (world->sched, "aa"), MT_JOB_CANCELLED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_CANCELLED);
   world_destroy (world);
 }
 
@@ -121,7 +121,7 @@
 
   world_submit (world, world_job ("aa", 1, 1000, 1000));
   assert_true (mt_scheduler_restore (world->sched, "aa", stored, 1, world->now));
-  record = mt_scheduler_record (world->sched, "aa");
+  record = mt_scheduler_job_record (world->sched, "aa");
   assert_string_equal (record, stored);
   world_destroy (world);
 }
@@ -245,7 +245,7 @@
     {
       g_autofree char *id = g_strdup_printf ("a%d", i);
 
-      assert_int_equal (mt_scheduler_state (world->sched, id), MT_JOB_COMPLETED);
+      assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
   assert_true (sick->starts < 30);
   world_destroy (world);
@@ -465,7 +465,7 @@
       world_run (world, 5);
       assert_true (other->runs->len <= 1);
     }
-  assert_int_equal (mt_scheduler_state (world->sched, "aa"), MT_JOB_COMPLETED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_COMPLETED);
   assert_int_equal (world_running (world, "bb.0.0.0"), 1);
   world_destroy (world);
 }
@@ -483,7 +483,7 @@
   mt_scheduler_cancel (world->sched, "aa", world->now);
   assert_true (mt_scheduler_restore (
       world->sched, "aa", "{\"s\":\"active\",\"b\":1,\"d\":{},\"t\":[]}", 1, world->now));
-  assert_int_equal (mt_scheduler_pending (world->sched, "route"), 1);
+  assert_int_equal (mt_scheduler_pending_jobs (world->sched, "route"), 1);
   world_destroy (world);
 }
 
@@ -699,13 +699,14 @@
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
-  struct mt_worker_entry next
-      = { .id = w->id, .born_ms = 8, .address = "127.0.0.1:1", .zone = "z", .room = w->room };
-  struct mt_hold_report late = { .answer = MT_ANSWER_OK, .clock_ms = 1, .born_ms = 7 };
+  struct mt_worker_entry next = {
+    .id = w->id, .started_at_ms = 8, .address = "127.0.0.1:1", .zone = "z", .resources = w->room
+  };
+  struct mt_hold_report late = { .answer = MT_ANSWER_OK, .clock_ms = 1, .started_at_ms = 7 };
 
   world->run_ms = 5000;
   world_run (world, 100);
-  mt_scheduler_worker_seen (world->sched, &next, world->now);
+  mt_scheduler_update_worker (world->sched, &next, world->now);
   w->born = 8;
   world_submit (world, world_job ("aa", 2, 1000, 5000));
   world_run (world, 500);
@@ -736,8 +737,8 @@
   world_run (world, 1500);
   assert_int_equal (mt_scheduler_workers (world->sched, world->now, views, 2), 2);
   late = views[0].tasks == 1 ? 0 : 1;
-  assert_true (views[1 - late].free_ms < 1200);
-  assert_true (views[late].free_ms > 3000);
+  assert_true (views[1 - late].batch_remaining_ms < 1200);
+  assert_true (views[late].batch_remaining_ms > 3000);
   world_destroy (world);
 }
 
@@ -865,12 +866,12 @@
   world_run (world, 3000);
   assert_int_equal (first->runs->len, 1);
   mt_scheduler_load (world->sched, world->now, &load);
-  assert_int_equal (load.stranded, 1);
+  assert_int_equal (load.unplaceable, 1);
   world_add_worker (world, "r1");
   world_run (world, 2500);
   assert_int_equal (first->runs->len, 0);
   mt_scheduler_load (world->sched, world->now, &load);
-  assert_int_equal (load.stranded, 0);
+  assert_int_equal (load.unplaceable, 0);
   world_destroy (world);
 }
 
@@ -890,11 +891,11 @@
   world_submit (world, world_job ("bb", 1, 5000, 2000));
   world_run (world, 300);
   mt_scheduler_load (world->sched, world->now, &load);
-  assert_int_equal (load.soon_cpu, 8000);
+  assert_int_equal (load.upcoming_cpu, 8000);
   world_run (world, 1200);
   mt_scheduler_load (world->sched, world->now, &load);
   assert_int_equal (load.used_cpu, 8000);
-  assert_int_equal (load.soon_cpu, 6000);
+  assert_int_equal (load.upcoming_cpu, 6000);
   world_destroy (world);
 }
 
@@ -943,7 +944,7 @@
     {
       g_autofree char *id = g_strdup_printf ("%02u", i);
 
-      assert_int_equal (mt_scheduler_state (world->sched, id), MT_JOB_COMPLETED);
+      assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
   assert_int_equal (world->started, 10 + 300);
   assert_int_equal (world->twice, 0);
@@ -969,14 +970,14 @@
   world_add_worker (world, "r1");
   for (unsigned i = 0; i < 16; i++)
     {
-      mt_scheduler_link_waits (world->sched, 300, world->now);
-      mt_scheduler_link_waits (world->sched, 0, world->now);
+      mt_scheduler_set_link_delay (world->sched, 300, world->now);
+      mt_scheduler_set_link_delay (world->sched, 0, world->now);
       world_run (world, 500);
     }
   w[0]->mute = w[1]->mute = false;
   world_run (world, 2000);
   assert_int_equal (world->started, 20);
-  assert_int_equal (mt_scheduler_state (world->sched, "aa"), MT_JOB_COMPLETED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_COMPLETED);
   world_destroy (world);
 }
 
@@ -1012,7 +1013,7 @@
     world_add_worker (world, "r1");
   world_run (world, 200);
   for (unsigned i = 0; i < 2; i++)
-    mt_scheduler_due (world->sched, world->workers[i].id, world->now + 5000);
+    mt_scheduler_announce_drain (world->sched, world->workers[i].id, world->now + 5000);
   spec->steps[0].long_running = true;
   world_submit (world, spec);
   world_run (world, 500);
@@ -1028,17 +1029,17 @@
 test_outlook_refuses_what_is_hopeless (void **state)
 {
   struct world *world = world_create ();
-  struct mt_outlook outlook;
+  struct mt_wait_estimate outlook;
 
-  outlook = mt_scheduler_outlook (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.again_ms, 0);
+  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (outlook.retry_after_ms, 0);
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
   world_run (world, 200);
   world_submit (world, world_job ("aa", 8, 4000, 1000));
   world_run (world, 100);
-  outlook = mt_scheduler_outlook (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.again_ms, 0);
+  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (outlook.retry_after_ms, 0);
   for (unsigned i = 0; i < 10; i++)
     {
       g_autofree char *id = g_strdup_printf ("b%u", i);
@@ -1046,15 +1047,15 @@
       world_submit (world, world_job (id, 40, 4000, 1000));
     }
   world_run (world, 100);
-  outlook = mt_scheduler_outlook (world->sched, "route", 1000, world->now);
-  assert_in_range (outlook.again_ms, 15000, 30000);
-  mt_scheduler_promise (world->sched, 40 * 16000, world->now + 1000);
+  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_in_range (outlook.retry_after_ms, 15000, 30000);
+  mt_scheduler_expect_capacity (world->sched, 40 * 16000, world->now + 1000);
   world_run (world, 100);
-  outlook = mt_scheduler_outlook (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.again_ms, 0);
+  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (outlook.retry_after_ms, 0);
   world_run (world, 4000);
-  outlook = mt_scheduler_outlook (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.again_ms, 0);
+  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (outlook.retry_after_ms, 0);
   world_destroy (world);
 }
 
@@ -1083,7 +1084,7 @@
   mt_scheduler_load (world->sched, world->now, &load);
   used = load.used_cpu;
   assert_in_range (used, 10000, 200000);
-  assert_in_range (load.demand_cpu + load.late_cpu, 1000, 2 * used);
+  assert_in_range (load.demand_cpu + load.overdue_cpu, 1000, 2 * used);
   assert_int_equal (load.urgent, 0);
   world_run (world, 30000);
   assert_int_equal (world->started, 600);
@@ -1106,7 +1107,7 @@
 test_jobs_beyond_a_rate_go_behind_the_rest (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_terms terms = { .rate = 4, .pools = 1 };
+  struct mt_workspace_limits terms = { .rate = 4, .pools = 1 };
 
   world_add_worker (world, "r1");
   world->run_ms = 400;
@@ -1124,9 +1125,9 @@
     {
       g_autofree char *id = g_strdup_printf ("y%02u", i);
 
-      assert_int_equal (mt_scheduler_state (world->sched, id), MT_JOB_COMPLETED);
+      assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
-  assert_int_equal (mt_scheduler_state (world->sched, "y20"), MT_JOB_QUEUED);
+  assert_int_equal (mt_scheduler_job_state (world->sched, "y20"), MT_JOB_QUEUED);
   assert_true (world_until (world, "y39", MT_JOB_COMPLETED, 60000));
   world_destroy (world);
 }
@@ -1145,17 +1146,17 @@
 test_older_message_on_quotas_is_not_taken (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_terms terms = { .quota = { .cpu = 8000 }, .pools = 2 };
+  struct mt_workspace_limits terms = { .quota = { .cpu = 8000 }, .pools = 2 };
   struct mt_grant less = { "yard", { .cpu = 1000 } };
   struct mt_grant more = { "yard", { .cpu = 8000 } };
-  struct mt_grant_message newer = { .token = 3, .number = 5, .all = true, .grants = &less, 1 };
-  struct mt_grant_message older = { .token = 3, .number = 4, .all = true, .grants = &more, 1 };
-  struct mt_grant_message other = { .token = 2, .number = 9, .all = true, .grants = &more, 1 };
+  struct mt_grant_message newer = { .token = 3, .sequence = 5, .all = true, .grants = &less, 1 };
+  struct mt_grant_message older = { .token = 3, .sequence = 4, .all = true, .grants = &more, 1 };
+  struct mt_grant_message other = { .token = 2, .sequence = 9, .all = true, .grants = &more, 1 };
 
   mt_scheduler_set_workspace (world->sched, "yard", &terms);
-  assert_true (mt_scheduler_granted (world->sched, &newer, world->now));
-  assert_false (mt_scheduler_granted (world->sched, &older, world->now));
-  assert_false (mt_scheduler_granted (world->sched, &other, world->now));
+  assert_true (mt_scheduler_apply_grants (world->sched, &newer, world->now));
+  assert_false (mt_scheduler_apply_grants (world->sched, &older, world->now));
+  assert_false (mt_scheduler_apply_grants (world->sched, &other, world->now));
   assert_int_equal (granted_cpu (world), 1000);
   world_destroy (world);
 }
@@ -1165,12 +1166,12 @@
 test_share_shrinks_with_its_quota (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_terms terms = { .quota = { .cpu = 8000 }, .pools = 2 };
+  struct mt_workspace_limits terms = { .quota = { .cpu = 8000 }, .pools = 2 };
   struct mt_grant grant = { "yard", { .cpu = 6000 } };
-  struct mt_grant_message message = { .token = 1, .number = 1, .all = true, .grants = &grant, 1 };
+  struct mt_grant_message message = { .token = 1, .sequence = 1, .all = true, .grants = &grant, 1 };
 
   mt_scheduler_set_workspace (world->sched, "yard", &terms);
-  assert_true (mt_scheduler_granted (world->sched, &message, world->now));
+  assert_true (mt_scheduler_apply_grants (world->sched, &message, world->now));
   terms.quota.cpu = 4000;
   mt_scheduler_set_workspace (world->sched, "yard", &terms);
   assert_int_equal (granted_cpu (world), 3000);
@@ -1185,15 +1186,15 @@
 test_quota_bounds_a_workspace_and_nobody_else (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_terms terms = { .quota = { .cpu = 4000 }, .pools = 1 };
+  struct mt_workspace_limits terms = { .quota = { .cpu = 4000 }, .pools = 1 };
   struct mt_grant grant = { "yard", { .cpu = 4000 } };
-  struct mt_grant_message message = { .token = 1, .number = 1, .grants = &grant, .n_grants = 1 };
+  struct mt_grant_message message = { .token = 1, .sequence = 1, .grants = &grant, .n_grants = 1 };
   struct mt_scheduler_load load;
 
   world_add_worker (world, "r1");
   world->run_ms = 500;
   mt_scheduler_set_workspace (world->sched, "yard", &terms);
-  assert_true (mt_scheduler_granted (world->sched, &message, world->now));
+  assert_true (mt_scheduler_apply_grants (world->sched, &message, world->now));
   submit_of (world, "yard", "aa", 10);
   world_run (world, 200);
   assert_int_equal (world->workers[0].runs->len, 2);
@@ -1224,7 +1225,7 @@
   char detail[200] = "";
 
   world->run_ms = 2000;
-  mt_scheduler_on_told (world->sched, keep_last_loss, detail);
+  mt_scheduler_set_event_callback (world->sched, keep_last_loss, detail);
   world_submit (world, world_job ("aa", 1, 1000, 2000));
   world_run (world, 1500);
   world_crash (world, w);
--- a/tests/scheduler/world.c
+++ b/tests/scheduler/world.c
@@ -15,13 +15,13 @@
 
 static const struct mt_scheduler_settings settings = {
   .name = "pool",
-  .hold_ms = 4500,
-  .max_hold_ms = 6000,
+  .lease_ms = 4500,
+  .max_lease_ms = 6000,
   .remote_factor = 2,
-  .status_ms = 120000,
+  .retention_ms = 120000,
   .stop_grace_ms = 900,
 };
-static const struct mt_route_terms terms
+static const struct mt_route_policy terms
     = { .priority = 0, .max_attempts = 3, .stretch = 1.6, .objective_ms = 600 };
 
 struct world *
@@ -75,14 +75,14 @@
 {
   const char *labels[] = { "a", "r1", NULL };
   struct mt_worker_entry entry = { .id = w->id,
-                                   .born_ms = w->born,
+                                   .started_at_ms = w->born,
                                    .address = "127.0.0.1:1",
                                    .zone = "z",
                                    .labels = labels,
-                                   .room = w->room,
+                                   .resources = w->room,
                                    .leaving = w->leaving };
 
-  mt_scheduler_worker_seen (world->sched, &entry, world->now);
+  mt_scheduler_update_worker (world->sched, &entry, world->now);
 }
 
 void
@@ -105,7 +105,7 @@
   struct world_worker *w = &world->workers[world->n_workers];
 
   snprintf (w->id, sizeof w->id, "i-%u", world->n_workers++);
-  w->room = (struct mt_room){ .cpu = 16000, .mem = 32768 };
+  w->room = (struct mt_resources){ .cpu = 16000, .mem = 32768 };
   w->slow = 1;
   w->born = 7;
   w->runs = g_array_new (FALSE, TRUE, sizeof (struct world_run));
@@ -119,7 +119,7 @@
 set_step (struct mt_step *step, unsigned count, int64_t cpu, int64_t ms)
 {
   step->count = count;
-  step->need = (struct mt_room){ .cpu = cpu, .mem = 100 };
+  step->need = (struct mt_resources){ .cpu = cpu, .mem = 100 };
   step->estimate_ms = ms;
 }
 
@@ -204,7 +204,7 @@
 }
 
 static void
-end_run (struct world_worker *w, guint at, enum mt_end_how how)
+end_run (struct world_worker *w, guint at, enum mt_end_kind how)
 {
   struct world_run *r = &g_array_index (w->runs, struct world_run, at);
   struct world_end end = { .number = ++w->last_end, .run = r->run, .how = how };
@@ -310,7 +310,7 @@
       for (guint i = 0; i < w->ends->len; i++)
         g_array_index (w->ends, struct world_end, i).lapsed = true;
       while (w->runs->len > 0)
-        end_run (w, 0, MT_END_LAPSED);
+        end_run (w, 0, MT_END_LEASE_EXPIRED);
     }
   for (guint i = w->runs->len; i > 0; i--)
     {
@@ -367,7 +367,7 @@
   if (is_done (world, order->task))
     world->redone++;
   memcpy (r.task, order->task, sizeof r.task);
-  w->lease = MAX (w->lease, order->lease_ms);
+  w->lease = MAX (w->lease, order->lease_end_ms);
   w->starts++;
   w->last_run = order->run;
   world->started++;
@@ -378,10 +378,10 @@
 static enum mt_answer
 start_unless_past (struct world *world, struct world_worker *w, const struct mt_order *order)
 {
-  if (order->lease_ms != 0 && order->lease_ms < world->now)
-    return MT_ANSWER_LATE;
+  if (order->lease_end_ms != 0 && order->lease_end_ms < world->now)
+    return MT_ANSWER_LEASE_EXPIRED;
   if (order->run <= GPOINTER_TO_UINT (g_hash_table_lookup (w->past, order->task)))
-    return MT_ANSWER_OLD_RUN;
+    return MT_ANSWER_STALE_RUN;
   start (world, w, order);
   return MT_ANSWER_OK;
 }
@@ -415,7 +415,7 @@
   struct world_late late = { .worker = w,
                              .kind = order->kind,
                              .run = order->run,
-                             .lease_ms = order->lease_ms,
+                             .lease_ms = order->lease_end_ms,
                              .token = world->token,
                              .born = w->born,
                              .at = world->now + w->late_ms };
@@ -430,7 +430,7 @@
   for (guint i = world->late->len; i > 0; i--)
     {
       struct world_late late = g_array_index (world->late, struct world_late, i - 1);
-      struct mt_order order = { .kind = late.kind, .run = late.run, .lease_ms = late.lease_ms };
+      struct mt_order order = { .kind = late.kind, .run = late.run, .lease_end_ms = late.lease_ms };
 
       if (world->now < late.at)
         continue;
@@ -458,7 +458,7 @@
   struct mt_end_row ends[512];
   struct mt_hold_report report = { .answer = MT_ANSWER_OK,
                                    .clock_ms = world->now - w->clock_lag_ms,
-                                   .born_ms = w->born,
+                                   .started_at_ms = w->born,
                                    .running = runs,
                                    .ended = ends };
 
@@ -484,7 +484,7 @@
 {
   if (w->replaced)
     {
-      struct mt_hold_report other = { .answer = MT_ANSWER_OTHER_LIFE, .clock_ms = -1 };
+      struct mt_hold_report other = { .answer = MT_ANSWER_OTHER_INCARNATION, .clock_ms = -1 };
 
       mt_scheduler_hold_answered (world->sched, w->id, &other, world->now - 1, world->now);
       return;
@@ -497,8 +497,9 @@
       return;
     }
   w->fence = MAX (w->fence, world->token);
-  w->lease = MAX (w->lease, order->lease_ms);
-  while (w->ends->len > 0 && g_array_index (w->ends, struct world_end, 0).number <= order->seen_end)
+  w->lease = MAX (w->lease, order->lease_end_ms);
+  while (w->ends->len > 0
+         && g_array_index (w->ends, struct world_end, 0).number <= order->acked_end)
     g_array_remove_index (w->ends, 0);
   w->holding = true;
   w->hold_sent = world->now - 1;
@@ -538,7 +539,7 @@
       return;
     }
   if (w->replaced)
-    answer = MT_ANSWER_OTHER_LIFE;
+    answer = MT_ANSWER_OTHER_INCARNATION;
   else if (dropped)
     w->drops--;
   else if (w->late_ms > 0)
@@ -567,7 +568,7 @@
   world->link_free
       = MAX (world->link_free, world->now) + (int64_t) ((double) bytes / world->link_bytes_per_ms);
   sent.leaves = world->link_free;
-  sent.given_up = world->now + order->link_ms + patience;
+  sent.given_up = world->now + order->link_delay_ms + patience;
   g_array_append_val (world->sent, sent);
 }
 
@@ -600,7 +601,7 @@
   if (sent->token < w->fence)
     return;
   w->fence = sent->token;
-  w->lease = MAX (w->lease, sent->order.lease_ms);
+  w->lease = MAX (w->lease, sent->order.lease_end_ms);
 }
 
 static void
@@ -642,7 +643,7 @@
 next_order (struct world *world, struct mt_order *order)
 {
   if (world->link_bytes_per_ms > 0)
-    mt_scheduler_link_waits (world->sched, MAX (world->link_free - world->now, 0), world->now);
+    mt_scheduler_set_link_delay (world->sched, MAX (world->link_free - world->now, 0), world->now);
   return world->holds_only ? mt_scheduler_next_hold (world->sched, world->now, order)
                            : mt_scheduler_next_order (world->sched, world->now, order);
 }
@@ -672,7 +673,7 @@
     return;
   for (guint i = 0; i < ids->len; i++)
     g_hash_table_insert (world->records, g_strdup (ids->pdata[i]),
-                         mt_scheduler_record (world->sched, ids->pdata[i]));
+                         mt_scheduler_job_record (world->sched, ids->pdata[i]));
   g_ptr_array_unref (ids);
   world->in_cycle = true;
 }
@@ -687,7 +688,7 @@
   carry_out_late (world);
   for (unsigned i = 0; i < world->n_workers; i++)
     work (world, &world->workers[i]);
-  if (!world->store_down && !world->in_cycle && mt_scheduler_wants_cycle (world->sched, world->now))
+  if (!world->store_down && !world->in_cycle && mt_scheduler_needs_cycle (world->sched, world->now))
     store (world);
   if (!world->store_down && world->in_cycle)
     {
@@ -716,11 +717,11 @@
 {
   for (int64_t at = 0; at < ms; at += STEP_MS)
     {
-      if (mt_scheduler_state (world->sched, id) == state)
+      if (mt_scheduler_job_state (world->sched, id) == state)
         return true;
       step (world);
     }
-  return mt_scheduler_state (world->sched, id) == state;
+  return mt_scheduler_job_state (world->sched, id) == state;
 }
 
 void
--- a/tests/scheduler/world.h
+++ b/tests/scheduler/world.h
@@ -30,7 +30,7 @@
   int64_t number;
   char task[80];
   unsigned run;
-  enum mt_end_how how;
+  enum mt_end_kind how;
   bool lapsed; /* the worker's lease was over after it: it proves nothing any more */
 };
 
@@ -53,8 +53,8 @@
   bool gone;            /* not in the registry */
   bool leaving;         /* the registry says that it leaves */
   int64_t gauge;        /* what it says of each run */
-  struct mt_room room;
-  struct mt_room used;
+  struct mt_resources room;
+  struct mt_resources used;
   int64_t born;
   int64_t lease; /* on its clock, which is the world's */
   GArray *runs;  /* struct world_run */
