--- a/daemon/main.c
+++ b/daemon/main.c
@@ -72,7 +72,7 @@
     {
       struct mt_str json = { text, len };
 
-      if (mt_fleet_settings_meant (json))
+      if (mt_fleet_settings_detect (json))
         out->fleet = mt_fleet_settings_parse (json, &error);
       else
         out->requests = mt_settings_parse (json, &error);
--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -270,7 +270,7 @@
   *r = (struct renewal){ c, c->lease, now };
   c->renewing++;
   c->renew_sent = now;
-  c->kv.ops->keep (c->kv.ctx, c->lease, RENEW_TIMEOUT_MS, on_kept, r);
+  c->kv.ops->renew (c->kv.ctx, c->lease, RENEW_TIMEOUT_MS, on_kept, r);
 }
 
 static void
@@ -461,7 +461,7 @@
   GHashTableIter it;
   struct leadership *d;
 
-  if (!c->listed || !mt_cluster_is_sure (c))
+  if (!c->listed || !mt_cluster_lease_is_valid (c))
     return;
   g_hash_table_iter_init (&it, c->leaderships);
   while (g_hash_table_iter_next (&it, NULL, (void **) &d))
@@ -579,19 +579,19 @@
 }
 
 bool
-mt_cluster_is_sure (const struct mt_cluster *c)
+mt_cluster_lease_is_valid (const struct mt_cluster *c)
 {
   return c->lease != 0 && mt_loop_now () < c->sure_until;
 }
 
 int64_t
-mt_cluster_unsure_ms (const struct mt_cluster *c)
+mt_cluster_lease_invalid_ms (const struct mt_cluster *c)
 {
   return c->lease != 0 ? MAX (mt_loop_now () - c->sure_until, 0) : INT64_MAX;
 }
 
 void
-mt_cluster_give_up (struct mt_cluster *c, const char *leadership, const char *why)
+mt_cluster_drop_leadership (struct mt_cluster *c, const char *leadership, const char *why)
 {
   struct leadership *d = g_hash_table_lookup (c->leaderships, leadership);
 
@@ -600,7 +600,7 @@
 }
 
 char **
-mt_cluster_others (const struct mt_cluster *c)
+mt_cluster_peers (const struct mt_cluster *c)
 {
   GPtrArray *out = g_ptr_array_new ();
   GHashTableIter it;
@@ -616,7 +616,7 @@
 }
 
 bool
-mt_cluster_is_witness (const struct mt_cluster *c, const char *address)
+mt_cluster_can_confirm_outage (const struct mt_cluster *c, const char *address)
 {
   GHashTableIter it;
   const struct member *m;
@@ -659,7 +659,7 @@
   c->left_ctx = ctx;
   drop_lease (c, "this daemon stops");
   if (lease != 0)
-    c->kv.ops->end (c->kv.ctx, lease, on_ended, c);
+    c->kv.ops->revoke (c->kv.ctx, lease, on_ended, c);
   else
     done (ctx);
 }
--- a/fleet/cluster.h
+++ b/fleet/cluster.h
@@ -36,16 +36,17 @@
 char *mt_cluster_leader_key (const char *leadership);
 /* This daemon's lease has not run out by its own clock, counted from when its last renewal was
  * sent. */
-bool mt_cluster_is_sure (const struct mt_cluster *cluster);
+bool mt_cluster_lease_is_valid (const struct mt_cluster *cluster);
 /* How long that has not been so; a large number where it never was. */
-int64_t mt_cluster_unsure_ms (const struct mt_cluster *cluster);
+int64_t mt_cluster_lease_invalid_ms (const struct mt_cluster *cluster);
 /* Somebody else was seen to have it, or the key is gone. */
-void mt_cluster_give_up (struct mt_cluster *cluster, const char *leadership, const char *why);
+void
+mt_cluster_drop_leadership (struct mt_cluster *cluster, const char *leadership, const char *why);
 /* Addresses of the other daemons, NULL-terminated; free with g_strfreev. */
-char **mt_cluster_others (const struct mt_cluster *cluster);
+char **mt_cluster_peers (const struct mt_cluster *cluster);
 /* What the daemon there sees would not be so just because this data centre is cut off: it is in
  * another one, or there is only one. */
-bool mt_cluster_is_witness (const struct mt_cluster *cluster, const char *address);
+bool mt_cluster_can_confirm_outage (const struct mt_cluster *cluster, const char *address);
 size_t mt_cluster_size (const struct mt_cluster *cluster);
 /* Gives everything back, so that others need not wait for the lease to run out; done is called
  * once the store has heard, or can't be told. */
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -56,11 +56,11 @@
   struct mt_uplink uplink;
   struct mt_calls *calls;
   struct mt_adapter *platform;
-  struct mt_words words;
+  struct mt_codec words;
   struct mt_cluster *cluster;
   struct mt_mesh *mesh;
   struct mt_relay *relay;
-  struct mt_neighbours neighbours;
+  struct mt_peer_service neighbours;
   struct mt_frontend *frontend;
   struct mt_http_front *front;
   struct mt_http_front *ready;
@@ -119,7 +119,7 @@
       if (strcmp (route->pool, name) != 0)
         continue;
       mt_scheduler_set_route (mt_pool_scheduler (pool), route->name, &route->terms);
-      mt_scheduler_require_tickets (mt_pool_scheduler (pool), route->name, route->advice);
+      mt_scheduler_require_tickets (mt_pool_scheduler (pool), route->name, route->requires_advice);
     }
 }
 
@@ -223,8 +223,8 @@
                                      .journal = f->journal };
   struct mt_pool *pool;
 
-  mt_journal_tell (f->journal, "LEADERSHIP_GAINED", "leadership=%s token=%" G_GINT64_FORMAT,
-                   leadership, token);
+  mt_journal_log (f->journal, "LEADERSHIP_GAINED", "leadership=%s token=%" G_GINT64_FORMAT,
+                  leadership, token);
   if (strcmp (leadership, fleet_leadership) == 0)
     {
       begin_leading (f, token);
@@ -236,7 +236,7 @@
   if (f->roster == NULL)
     f->roster = mt_roster_create (f->base, &registry);
   else
-    mt_roster_tell (f->roster, leadership);
+    mt_roster_replay (f->roster, leadership);
 }
 
 static void
@@ -244,8 +244,8 @@
 {
   struct mt_fleet *f = ctx;
 
-  mt_journal_tell (f->journal, "LEADERSHIP_LOST", "leadership=%s why=%s", leadership, why);
-  mt_metrics_count (f->metrics, MT_COUNT_DUTIES_LOST);
+  mt_journal_log (f->journal, "LEADERSHIP_LOST", "leadership=%s why=%s", leadership, why);
+  mt_metrics_increment (f->metrics, MT_COUNT_LEADERSHIPS_LOST);
   if (strcmp (leadership, fleet_leadership) == 0)
     g_clear_pointer (&f->leader, mt_fleet_leader_destroy);
   else
@@ -278,8 +278,8 @@
     mt_fleet_leader_set_config (f->leader, config);
   mt_fleet_config_free (old);
   mt_metrics_set (f->metrics, MT_GAUGE_CONFIG, config->version);
-  mt_journal_tell (f->journal, "CONFIG_IN_FORCE", "version=%" G_GINT64_FORMAT " routes=%zu",
-                   config->version, config->n_routes);
+  mt_journal_log (f->journal, "CONFIG_IN_FORCE", "version=%" G_GINT64_FORMAT " routes=%zu",
+                  config->version, config->n_routes);
 }
 
 /* A version that is in force is never followed by a lower one, whatever a late answer says. */
@@ -292,9 +292,9 @@
 
   if (item->deleted || strcmp (item->key, f->words.config_key) != 0)
     return;
-  config = f->words.ops->config (item->value, &error);
+  config = f->words.ops->parse_config (item->value, &error);
   if (config == NULL)
-    mt_journal_tell (f->journal, "CONFIG_REFUSED", "why=%s", error->message);
+    mt_journal_log (f->journal, "CONFIG_REFUSED", "why=%s", error->message);
   else if (f->config != NULL && config->version <= f->config->version)
     mt_fleet_config_free (config);
   else
@@ -312,7 +312,7 @@
 static bool
 store_is_heard (const struct mt_fleet *f)
 {
-  return mt_loop_now () - mt_watcher_heard (f->config_watch) < STORE_SILENT_MS;
+  return mt_loop_now () - mt_watcher_last_answer (f->config_watch) < STORE_SILENT_MS;
 }
 
 static void
@@ -340,13 +340,13 @@
 
       mt_scheduler_load (mt_pool_scheduler (pool), mt_loop_now (), &load);
       if (load.jobs > 0)
-        mt_journal_tell (f->journal, "POOL_LOAD",
-                         "pool=%s jobs=%u waiting=%u urgent=%u running=%u workers=%u silent=%u "
-                         "used_cpu=%" G_GINT64_FORMAT " room_cpu=%" G_GINT64_FORMAT
-                         " demand_cpu=%" G_GINT64_FORMAT " arriving_cpu=%" G_GINT64_FORMAT,
-                         name, load.jobs, load.waiting, load.urgent, load.running, load.workers,
-                         load.silent, load.used_cpu, load.capacity_cpu, load.demand_cpu,
-                         load.arriving_cpu);
+        mt_journal_log (f->journal, "POOL_LOAD",
+                        "pool=%s jobs=%u waiting=%u urgent=%u running=%u workers=%u silent=%u "
+                        "used_cpu=%" G_GINT64_FORMAT " room_cpu=%" G_GINT64_FORMAT
+                        " demand_cpu=%" G_GINT64_FORMAT " arriving_cpu=%" G_GINT64_FORMAT,
+                        name, load.jobs, load.waiting, load.urgent, load.running, load.workers,
+                        load.silent, load.used_cpu, load.capacity_cpu, load.demand_cpu,
+                        load.arriving_cpu);
     }
 }
 
@@ -405,7 +405,7 @@
     return;
   f->stopping = true;
   f->stop_began = mt_loop_now ();
-  mt_journal_tell (f->journal, "FLEET_STOPPING", "requests=%u", mt_frontend_busy (f->frontend));
+  mt_journal_log (f->journal, "FLEET_STOPPING", "requests=%u", mt_frontend_in_flight (f->frontend));
   mt_http_front_close_after_answers (f->front);
   mt_cluster_leave (f->cluster, on_left, f);
 }
@@ -418,7 +418,8 @@
 
   if (!f->stopping)
     return false;
-  return since >= grace || (since >= LINGER_MS && f->left && mt_frontend_busy (f->frontend) == 0);
+  return since >= grace
+         || (since >= LINGER_MS && f->left && mt_frontend_in_flight (f->frontend) == 0);
 }
 
 static void
@@ -429,8 +430,8 @@
 
   mt_timer_set (f->housekeeping, f->stopping ? HOUSEKEEPING_MS / 5 : HOUSEKEEPING_MS);
   if (lost != f->store_lost)
-    mt_journal_tell (f->journal, lost ? "STORE_LOST" : "STORE_BACK", "reached_directly=%d",
-                     mt_adapter_reaches_store (f->platform));
+    mt_journal_log (f->journal, lost ? "STORE_LOST" : "STORE_BACK", "reached_directly=%d",
+                    mt_adapter_reaches_store (f->platform));
   f->store_lost = lost;
   if (mt_loop_now () - f->loads_told >= LOADS_MS)
     {
@@ -466,7 +467,7 @@
     settings = mt_fleet_settings_parse ((struct mt_str){ text, len }, &error);
   if (settings == NULL)
     {
-      mt_journal_tell (f->journal, "FLEET_SETTINGS", "taken=no why=%s", error->message);
+      mt_journal_log (f->journal, "FLEET_SETTINGS", "taken=no why=%s", error->message);
       return;
     }
   addresses = adapter_settings (settings);
@@ -475,7 +476,7 @@
     mt_fleet_settings_destroy (f->reread);
   f->reread = settings;
   f->settings = settings;
-  mt_journal_tell (f->journal, "FLEET_SETTINGS", "taken=yes path=%s", f->settings_path);
+  mt_journal_log (f->journal, "FLEET_SETTINGS", "taken=yes path=%s", f->settings_path);
 }
 
 static void
@@ -522,7 +523,7 @@
 static int64_t
 config_age_ms (void *ctx)
 {
-  return mt_loop_now () - mt_watcher_heard (((struct mt_fleet *) ctx)->config_watch);
+  return mt_loop_now () - mt_watcher_last_answer (((struct mt_fleet *) ctx)->config_watch);
 }
 
 static void
@@ -618,7 +619,7 @@
   f->calls = mt_calls_create (f->base, f->traffic);
   f->platform = mt_adapter_create (f->calls, &platform);
   f->words = mt_adapter_words ();
-  f->mesh = mt_mesh_create (f->base, f->traffic, peer, s->name.data, mt_neighbours_handle,
+  f->mesh = mt_mesh_create (f->base, f->traffic, peer, s->name.data, mt_peer_service_handle,
                             &f->neighbours, error);
   if (f->mesh == NULL)
     return NULL;
@@ -626,7 +627,7 @@
   peer = g_strdup_printf ("%s:%u", s->ip.data, mt_mesh_port (f->mesh));
   make_cluster (f, peer);
   f->relay = mt_relay_create (f->platform, f->mesh, f->cluster);
-  f->neighbours = (struct mt_neighbours){ f->cluster, f->relay, local_pool, f };
+  f->neighbours = (struct mt_peer_service){ f->cluster, f->relay, local_pool, f };
   make_frontend (f);
   if (!listen_all (f, error))
     return NULL;
@@ -640,13 +641,13 @@
 void
 mt_fleet_run (struct mt_fleet *f)
 {
-  mt_journal_tell (
+  mt_journal_log (
       f->journal, "FLEET_STARTED", "zone=%s port=%u ready_port=%u peer_port=%u metrics_port=%u",
       f->settings->zone.data, mt_http_front_port (f->front), mt_http_front_port (f->ready),
       mt_mesh_port (f->mesh), f->scrape != NULL ? mt_http_front_port (f->scrape) : 0);
   mt_timer_set (f->housekeeping, HOUSEKEEPING_MS);
   event_base_dispatch (f->base);
-  mt_journal_tell (f->journal, "FLEET_STOPPED", "requests=%u", mt_frontend_busy (f->frontend));
+  mt_journal_log (f->journal, "FLEET_STOPPED", "requests=%u", mt_frontend_in_flight (f->frontend));
   mt_journal_flush (f->journal);
 }
 
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -138,10 +138,10 @@
 static void
 tell_controller (struct mt_fleet_leader *lead, struct wave *w)
 {
-  int64_t age = CLAMP (mt_loop_wall () - w->seen_wall, 0, w->asked->due_ms);
+  int64_t age = CLAMP (mt_loop_wall_ms () - w->seen_wall, 0, w->asked->deadline_ms);
 
-  mt_controller_wave (lead->controller, w->number, w->asked->machines, w->done, w->asked->cap,
-                      mt_loop_now () + w->asked->due_ms - age);
+  mt_controller_wave (lead->controller, w->number, w->asked->machines, w->done,
+                      w->asked->max_unavailable, mt_loop_now () + w->asked->deadline_ms - age);
   w->known = true;
 }
 
@@ -196,7 +196,7 @@
 on_wave (void *ctx, const struct mt_kv_item *item)
 {
   struct mt_fleet_leader *lead = ctx;
-  struct mt_wave *asked = item->deleted ? NULL : lead->options.words->ops->wave (item->value);
+  struct mt_wave *asked = item->deleted ? NULL : lead->options.words->ops->parse_wave (item->value);
   struct wave *w;
 
   if (asked == NULL || g_hash_table_contains (lead->waves, item->key))
@@ -207,11 +207,12 @@
   w = g_new0 (struct wave, 1);
   w->asked = asked;
   w->number = asked->number;
-  w->seen_wall = mt_loop_wall ();
+  w->seen_wall = mt_loop_wall_ms ();
   g_hash_table_insert (lead->waves, g_strdup (item->key), w);
-  mt_journal_tell (lead->options.journal, "WAVE_SEEN",
-                   "wave=%" G_GINT64_FORMAT " machines=%u cap=%u due_ms=%" G_GINT64_FORMAT,
-                   w->number, g_strv_length (asked->machines), asked->cap, asked->due_ms);
+  mt_journal_log (lead->options.journal, "WAVE_SEEN",
+                  "wave=%" G_GINT64_FORMAT " machines=%u cap=%u due_ms=%" G_GINT64_FORMAT,
+                  w->number, g_strv_length (asked->machines), asked->max_unavailable,
+                  asked->deadline_ms);
 }
 
 static char *
@@ -272,14 +273,14 @@
   at = progress_key (w);
   status_at
       = g_strdup_printf ("%s%" G_GINT64_FORMAT, lead->options.words->wave_status_prefix, w->number);
-  status = lead->options.words->ops->wave_status (completed);
+  status = lead->options.words->ops->format_wave_status (completed);
   progress = write_progress (w, done);
   puts[0] = (struct mt_kv_put){ at, mt_str_from (progress), 0 };
   puts[1] = (struct mt_kv_put){ status_at, mt_str_from (status), 0 };
   if (completed && !w->completed_written)
-    mt_journal_tell (lead->options.journal, "WAVE_ENDED",
-                     "wave=%" G_GINT64_FORMAT " machines=%u took_ms=%" G_GINT64_FORMAT, w->number,
-                     n, mt_loop_wall () - w->seen_wall);
+    mt_journal_log (lead->options.journal, "WAVE_ENDED",
+                    "wave=%" G_GINT64_FORMAT " machines=%u took_ms=%" G_GINT64_FORMAT, w->number, n,
+                    mt_loop_wall_ms () - w->seen_wall);
   w->writing = true;
   w->active_written = true;
   w->completed_written = completed;
@@ -322,16 +323,16 @@
   if (!lead->destroyed && machines != NULL)
     {
       for (size_t i = 0; i < n; i++)
-        rows[i] = (struct mt_controller_row){ .id = machines[i].id,
-                                              .pool = machines[i].pool,
-                                              .rack = machines[i].rack,
-                                              .worker = machines[i].worker != NULL
-                                                                && machines[i].worker[0] != '\0'
-                                                            ? machines[i].worker
-                                                            : NULL,
-                                              .up = machines[i].state == MT_MACHINE_UP,
-                                              .in_upkeep = machines[i].state == MT_MACHINE_UPKEEP,
-                                              .room = machines[i].room };
+        rows[i] = (struct mt_controller_row){
+          .id = machines[i].id,
+          .pool = machines[i].pool,
+          .rack = machines[i].rack,
+          .worker
+          = machines[i].worker != NULL && machines[i].worker[0] != '\0' ? machines[i].worker : NULL,
+          .up = machines[i].state == MT_MACHINE_UP,
+          .in_upkeep = machines[i].state == MT_MACHINE_MAINTENANCE,
+          .room = machines[i].resources
+        };
       mt_controller_machines (lead->controller, rows, n, lead->list_asked, mt_loop_now ());
     }
   g_free (rows);
@@ -395,18 +396,18 @@
   struct mt_grant_message message = mt_grants_message (lead->grants, name, mt_loop_now ());
   size_t grants_len = 0;
   g_autofree char *grants = mt_grants_pack (&message, &grants_len);
-  struct mt_fleet_leader_notes texts = { mt_str_from (cordon),
-                                         mt_str_from (ended),
-                                         mt_str_from (due),
-                                         mt_str_from (room),
-                                         { grants, grants_len } };
+  struct mt_pool_directives texts = { mt_str_from (cordon),
+                                      mt_str_from (ended),
+                                      mt_str_from (due),
+                                      mt_str_from (room),
+                                      { grants, grants_len } };
 
   g_free ((struct mt_grant *) message.grants);
   mt_controller_notes_clear (&notes);
   if (local != NULL)
     {
       size_t len = 0;
-      g_autofree char *bytes = mt_fleet_leader_serve (local, &texts, &len);
+      g_autofree char *bytes = mt_pool_apply_directives (local, &texts, &len);
 
       if (bytes != NULL)
         take_report (lead, name, message.sequence, (struct mt_str){ bytes, len });
@@ -445,7 +446,7 @@
 }
 
 char *
-mt_fleet_leader_serve (struct mt_pool *pool, const struct mt_fleet_leader_notes *notes, size_t *len)
+mt_pool_apply_directives (struct mt_pool *pool, const struct mt_pool_directives *notes, size_t *len)
 {
   g_auto (GStrv) cordon = split_ids (notes->cordon);
   g_auto (GStrv) ended = split_ids (notes->ended);
@@ -496,13 +497,13 @@
   if (!lead->destroyed)
     {
       if (answer != MT_MACHINE_DONE)
-        mt_journal_tell (lead->options.journal, "MACHINE_REFUSED", "machine=%s order=%s why=%s",
-                         call->machine, call->what, answers[answer].text);
+        mt_journal_log (lead->options.journal, "MACHINE_REFUSED", "machine=%s order=%s why=%s",
+                        call->machine, call->what, answers[answer].text);
       mt_controller_answered (lead->controller, call->machine, answers[answer].means,
                               mt_loop_now ());
       if (answer == MT_MACHINE_FENCED)
-        mt_cluster_give_up (lead->options.cluster, lead->options.leadership,
-                            "a higher token ordered a machine");
+        mt_cluster_drop_leadership (lead->options.cluster, lead->options.leadership,
+                                    "a higher token ordered a machine");
     }
   unref (lead);
   g_free (call->machine);
@@ -520,13 +521,13 @@
   call->leader = ref (lead);
   call->machine = g_strdup (order->machine);
   call->what = g_strdup (upkeep ? "upkeep" : order->to);
-  mt_journal_tell (lead->options.journal, upkeep ? "UPKEEP_ORDERED" : "MACHINE_MOVED",
-                   "machine=%s worker=%s pool=%s to=%s wave=%" G_GINT64_FORMAT, order->machine,
-                   order->worker != NULL ? order->worker : "-", order->pool,
-                   upkeep ? "-" : order->to, order->wave);
+  mt_journal_log (lead->options.journal, upkeep ? "UPKEEP_ORDERED" : "MACHINE_MOVED",
+                  "machine=%s worker=%s pool=%s to=%s wave=%" G_GINT64_FORMAT, order->machine,
+                  order->worker != NULL ? order->worker : "-", order->pool,
+                  upkeep ? "-" : order->to, order->wave);
   if (upkeep)
-    machines->ops->upkeep (machines->ctx, order->machine, order->wave, lead->options.token,
-                           on_ordered, call);
+    machines->ops->maintain (machines->ctx, order->machine, order->wave, lead->options.token,
+                             on_ordered, call);
   else
     machines->ops->move (machines->ctx, order->machine, order->to, lead->options.token, on_ordered,
                          call);
@@ -538,7 +539,7 @@
 {
   struct mt_controller_order order;
 
-  while (mt_cluster_is_sure (lead->options.cluster)
+  while (mt_cluster_lease_is_valid (lead->options.cluster)
          && mt_controller_next (lead->controller, mt_loop_now (), &order))
     send_order (lead, &order);
 }
--- a/fleet/fleet_leader.h
+++ b/fleet/fleet_leader.h
@@ -15,7 +15,7 @@
   int64_t token;
   struct mt_kv kv;
   struct mt_machines machines;
-  const struct mt_words *words;
+  const struct mt_codec *words;
   struct mt_cluster *cluster;
   struct mt_mesh *mesh;
   struct mt_journal *journal;
@@ -33,7 +33,7 @@
                                  const struct mt_fleet_config *config);
 
 /* What a pool's leader is told: worker ids joined by commas. */
-struct mt_fleet_leader_notes
+struct mt_pool_directives
 {
   struct mt_str cordon; /* to be emptied */
   struct mt_str ended;  /* their machines were ordered away */
@@ -44,8 +44,8 @@
 
 /* The part of a pool's leader: empties what it is told to and reports; the bytes are g_freed by the
  * caller. */
-char *mt_fleet_leader_serve (struct mt_pool *pool,
-                             const struct mt_fleet_leader_notes *notes,
-                             size_t *len);
+char *mt_pool_apply_directives (struct mt_pool *pool,
+                                const struct mt_pool_directives *notes,
+                                size_t *len);
 
 #endif
--- a/fleet/frontend.c
+++ b/fleet/frontend.c
@@ -19,7 +19,7 @@
 }
 
 unsigned
-mt_frontend_spread_s (int64_t wait_ms, double draw)
+mt_frontend_retry_after_s (int64_t wait_ms, double draw)
 {
   return (unsigned) MAX (ceil ((double) wait_ms * (1 + draw) / 1000), 1);
 }
@@ -46,10 +46,10 @@
 }
 
 void
-mt_frontend_note_leader (struct mt_frontend *frontend,
-                         const char *pool,
-                         enum mt_mesh_method method,
-                         const struct mt_mesh_args *args)
+mt_frontend_notify_leader (struct mt_frontend *frontend,
+                           const char *pool,
+                           enum mt_mesh_method method,
+                           const struct mt_mesh_args *args)
 {
   mt_frontend_send_leader (frontend, pool, method, args, on_noted, frontend);
 }
@@ -111,14 +111,14 @@
   const char *key = mt_exchange_header (exchange, frontend->options.words->key_header);
   unsigned status = stale ? 503 : 401;
 
-  mt_metrics_count (frontend->options.metrics, MT_COUNT_UNAUTHORIZED);
-  mt_journal_tell (frontend->options.journal, "CALLER_REFUSED",
-                   "id=%s route=%s pool=%s status=%u version=%" G_GINT64_FORMAT " why=%s",
-                   id[0] != '\0' ? id : "-", route->name, route->pool, status,
-                   frontend->config->version,
-                   stale         ? "keys can't be confirmed"
-                   : key == NULL ? "no key"
-                                 : "unknown key");
+  mt_metrics_increment (frontend->options.metrics, MT_COUNT_UNAUTHORIZED);
+  mt_journal_log (frontend->options.journal, "CALLER_REFUSED",
+                  "id=%s route=%s pool=%s status=%u version=%" G_GINT64_FORMAT " why=%s",
+                  id[0] != '\0' ? id : "-", route->name, route->pool, status,
+                  frontend->config->version,
+                  stale         ? "keys can't be confirmed"
+                  : key == NULL ? "no key"
+                                : "unknown key");
   mt_frontend_answer (exchange, status, NULL, stale ? MT_FRONTEND_RETRY_AFTER_S : 0);
 }
 
@@ -133,7 +133,7 @@
   const struct mt_workspace *workspace;
   bool stale;
 
-  if (list == NULL || route->keyless)
+  if (list == NULL || route->allow_anonymous)
     return "";
   stale = keys_are_stale (frontend);
   workspace = mt_workspaces_by_key (
@@ -154,11 +154,11 @@
   const char *method = mt_exchange_method (exchange);
 
   if (strcmp (method, "GET") == 0 && id[0] == '\0')
-    mt_frontend_ask_pending (frontend, exchange, route);
+    mt_frontend_query_pending (frontend, exchange, route);
   else if (strcmp (method, "POST") == 0 && id[0] != '\0')
     mt_frontend_submit (frontend, exchange, route, id, workspace);
   else if (strcmp (method, "GET") == 0)
-    mt_frontend_ask_state (frontend, exchange, route, id, workspace);
+    mt_frontend_query_state (frontend, exchange, route, id, workspace);
   else if (strcmp (method, "DELETE") == 0 && id[0] != '\0')
     mt_frontend_cancel (frontend, exchange, route, id, workspace);
   else
@@ -196,7 +196,7 @@
 }
 
 unsigned
-mt_frontend_busy (const struct mt_frontend *frontend)
+mt_frontend_in_flight (const struct mt_frontend *frontend)
 {
   return frontend->busy;
 }
--- a/fleet/frontend.h
+++ b/fleet/frontend.h
@@ -16,7 +16,7 @@
 struct mt_frontend_options
 {
   struct mt_kv kv;
-  const struct mt_words *words;
+  const struct mt_codec *words;
   struct mt_cluster *cluster;
   struct mt_mesh *mesh;
   struct mt_journal *journal;
@@ -38,6 +38,6 @@
 void mt_frontend_set_config (struct mt_frontend *frontend, const struct mt_fleet_config *config);
 void mt_frontend_handle (struct mt_frontend *frontend, struct mt_exchange *exchange);
 /* Submissions and questions under way. */
-unsigned mt_frontend_busy (const struct mt_frontend *frontend);
+unsigned mt_frontend_in_flight (const struct mt_frontend *frontend);
 
 #endif
--- a/fleet/frontend_ask.c
+++ b/fleet/frontend_ask.c
@@ -46,7 +46,7 @@
 free_question (struct question *q)
 {
   q->frontend->busy--;
-  mt_metrics_took (q->frontend->options.metrics, MT_LATENCY_ASK, mt_loop_now () - q->began);
+  mt_metrics_observe (q->frontend->options.metrics, MT_LATENCY_QUERY, mt_loop_now () - q->began);
   g_free (q->pool);
   g_free (q->id);
   g_free (q->route);
@@ -57,10 +57,10 @@
 static void
 end_unanswered (struct question *q, unsigned status, const char *why)
 {
-  mt_metrics_count (q->frontend->options.metrics, MT_COUNT_UNANSWERED);
-  mt_journal_tell (q->frontend->options.journal, "CALL_FAILED",
-                   "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT,
-                   q->id != NULL ? q->id : "-", q->pool, status, why, mt_loop_now () - q->began);
+  mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_UNANSWERED);
+  mt_journal_log (q->frontend->options.journal, "CALL_FAILED",
+                  "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT,
+                  q->id != NULL ? q->id : "-", q->pool, status, why, mt_loop_now () - q->began);
   mt_frontend_answer (q->exchange, status, NULL, MT_FRONTEND_RETRY_AFTER_S);
   free_question (q);
 }
@@ -68,7 +68,7 @@
 static void
 end_state (struct question *q, enum mt_job_state state)
 {
-  g_autofree char *body = q->frontend->options.words->ops->job_state (state);
+  g_autofree char *body = q->frontend->options.words->ops->format_job_state (state);
 
   mt_frontend_answer (q->exchange, 200, body, 0);
   free_question (q);
@@ -125,8 +125,8 @@
   struct mt_pool_submission stored = { 0 };
   bool found = reply->status == MT_KV_OK && reply->n_items > 0;
 
-  if (found && mt_pool_read_value (reply->items[0].value, &stored))
-    found = mt_pool_may_see (stored.workspace, q->workspace);
+  if (found && mt_pool_submission_unpack (reply->items[0].value, &stored))
+    found = mt_pool_job_is_visible (stored.workspace, q->workspace);
   mt_pool_submission_clear (&stored);
   return found;
 }
@@ -158,7 +158,7 @@
 {
   g_autofree char *key = mt_pool_job_key (q->pool, q->id);
 
-  mt_metrics_count (q->frontend->options.metrics, MT_COUNT_ASKED_STORE);
+  mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_STORE);
   mt_kv_read (&q->frontend->options.kv, key, STORE_MS, on_job_key, q);
 }
 
@@ -174,7 +174,7 @@
       ask_store (q);
       return;
     }
-  mt_metrics_count (q->frontend->options.metrics, MT_COUNT_ASKED_LEADER);
+  mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_LEADER);
   end_state (q, state);
 }
 
@@ -187,11 +187,11 @@
 }
 
 void
-mt_frontend_ask_state (struct mt_frontend *frontend,
-                       struct mt_exchange *exchange,
-                       const struct mt_fleet_route *route,
-                       const char *id,
-                       const char *workspace)
+mt_frontend_query_state (struct mt_frontend *frontend,
+                         struct mt_exchange *exchange,
+                         const struct mt_fleet_route *route,
+                         const char *id,
+                         const char *workspace)
 {
   struct mt_pool *local = loaded_pool (frontend, route->pool);
   struct question *q = new_question (frontend, exchange, route, id, workspace);
@@ -199,9 +199,9 @@
       = { 3, { mt_str_from (q->pool), mt_str_from (q->id), mt_str_from (q->workspace) } };
   enum mt_job_state state = MT_JOB_UNKNOWN;
 
-  mt_metrics_count (frontend->options.metrics, MT_COUNT_ASKED);
+  mt_metrics_increment (frontend->options.metrics, MT_COUNT_QUERIES);
   /* A leader that may have been replaced unnoticed must not tell what is no longer true. */
-  if (local != NULL && mt_cluster_is_sure (frontend->options.cluster))
+  if (local != NULL && mt_cluster_lease_is_valid (frontend->options.cluster))
     state = mt_pool_state_for (local, id, workspace);
   if (state != MT_JOB_UNKNOWN)
     end_state (q, state);
@@ -223,24 +223,24 @@
       end_unanswered (q, 503, "the pool's leader did not answer");
       return;
     }
-  body = q->frontend->options.words->ops->pending ((unsigned) jobs);
+  body = q->frontend->options.words->ops->format_pending ((unsigned) jobs);
   mt_frontend_answer (q->exchange, 200, body, 0);
   free_question (q);
 }
 
 void
-mt_frontend_ask_pending (struct mt_frontend *frontend,
-                         struct mt_exchange *exchange,
-                         const struct mt_fleet_route *route)
+mt_frontend_query_pending (struct mt_frontend *frontend,
+                           struct mt_exchange *exchange,
+                           const struct mt_fleet_route *route)
 {
   struct mt_pool *local = loaded_pool (frontend, route->pool);
   struct question *q = new_question (frontend, exchange, route, NULL, "");
   struct mt_mesh_args args = { 2, { mt_str_from (q->pool), mt_str_from (q->route) } };
 
-  mt_metrics_count (frontend->options.metrics, MT_COUNT_ASKED);
+  mt_metrics_increment (frontend->options.metrics, MT_COUNT_QUERIES);
   if (local != NULL)
     {
-      g_autofree char *body = frontend->options.words->ops->pending (
+      g_autofree char *body = frontend->options.words->ops->format_pending (
           mt_scheduler_pending_jobs (mt_pool_scheduler (local), route->name));
 
       mt_frontend_answer (exchange, 200, body, 0);
@@ -263,13 +263,13 @@
   struct mt_mesh_args args = { 2, { mt_str_from (q->pool), mt_str_from (q->id) } };
 
   if (local != NULL)
-    mt_pool_cancelled (local, q->id);
+    mt_pool_handle_cancel (local, q->id);
   else
-    mt_frontend_note_leader (frontend, q->pool, MT_MESH_CANCELLED, &args);
-  mt_metrics_count (frontend->options.metrics, MT_COUNT_CANCELS);
-  mt_journal_tell (frontend->options.journal, "CANCEL_ACCEPTED",
-                   "id=%s pool=%s took_ms=%" G_GINT64_FORMAT, q->id, q->pool,
-                   mt_loop_now () - q->began);
+    mt_frontend_notify_leader (frontend, q->pool, MT_MESH_CANCELLED, &args);
+  mt_metrics_increment (frontend->options.metrics, MT_COUNT_CANCELS);
+  mt_journal_log (frontend->options.journal, "CANCEL_ACCEPTED",
+                  "id=%s pool=%s took_ms=%" G_GINT64_FORMAT, q->id, q->pool,
+                  mt_loop_now () - q->began);
   mt_frontend_answer (q->exchange, 200, NULL, 0);
   free_question (q);
 }
--- a/fleet/frontend_internal.h
+++ b/fleet/frontend_internal.h
@@ -41,14 +41,14 @@
                               mt_mesh_done done,
                               void *data);
 /* A note that wants no reply. */
-void mt_frontend_note_leader (struct mt_frontend *frontend,
-                              const char *pool,
-                              enum mt_mesh_method method,
-                              const struct mt_mesh_args *args);
+void mt_frontend_notify_leader (struct mt_frontend *frontend,
+                                const char *pool,
+                                enum mt_mesh_method method,
+                                const struct mt_mesh_args *args);
 
 /* Whole seconds after which to come back, at least the wait and spread over as long again by draw
  * (0 to 1): all that were refused would return together. */
-unsigned mt_frontend_spread_s (int64_t wait_ms, double draw);
+unsigned mt_frontend_retry_after_s (int64_t wait_ms, double draw);
 
 /* workspace: the caller's; "" where the route asks for no key. */
 /* frontend_submit.c */
@@ -59,14 +59,14 @@
                          const char *id,
                          const char *workspace);
 /* frontend_ask.c */
-void mt_frontend_ask_state (struct mt_frontend *frontend,
-                            struct mt_exchange *exchange,
-                            const struct mt_fleet_route *route,
-                            const char *id,
-                            const char *workspace);
-void mt_frontend_ask_pending (struct mt_frontend *frontend,
+void mt_frontend_query_state (struct mt_frontend *frontend,
                               struct mt_exchange *exchange,
-                              const struct mt_fleet_route *route);
+                              const struct mt_fleet_route *route,
+                              const char *id,
+                              const char *workspace);
+void mt_frontend_query_pending (struct mt_frontend *frontend,
+                                struct mt_exchange *exchange,
+                                const struct mt_fleet_route *route);
 void mt_frontend_cancel (struct mt_frontend *frontend,
                          struct mt_exchange *exchange,
                          const struct mt_fleet_route *route,
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -74,9 +74,9 @@
   struct mt_mesh_args args = { 3, { mt_str_from (s->pool), mt_str_from (s->key), value } };
 
   if (local != NULL)
-    mt_pool_submitted (local, s->key, value, true);
+    mt_pool_handle_submission (local, s->key, value, true);
   else
-    mt_frontend_note_leader (frontend, s->pool, MT_MESH_SUBMITTED, &args);
+    mt_frontend_notify_leader (frontend, s->pool, MT_MESH_SUBMITTED, &args);
 }
 
 /* A true refusal, of which nothing is under way, says when its turn would come; a caller whose
@@ -87,7 +87,7 @@
   const struct mt_frontend *frontend = s->frontend;
 
   if (s->again_ms > 0)
-    return mt_frontend_spread_s (s->again_ms, g_random_double ());
+    return mt_frontend_retry_after_s (s->again_ms, g_random_double ());
   if (status == 503)
     return mt_admission_retry_after_s (frontend->admission, frontend->submits.length,
                                        g_random_double ());
@@ -104,7 +104,7 @@
     const char *event;
   } ways[] = {
     { 200, MT_COUNT_ACCEPTED, "JOB_ACCEPTED" },
-    { 504, MT_COUNT_UNSETTLED, "JOB_UNSETTLED" },
+    { 504, MT_COUNT_OUTCOME_UNKNOWN, "JOB_UNSETTLED" },
     { 0, MT_COUNT_REFUSED, "JOB_REFUSED" },
   };
   size_t way = 0;
@@ -112,11 +112,11 @@
 
   while (ways[way].status != 0 && ways[way].status != status)
     way++;
-  mt_metrics_count (s->frontend->options.metrics, ways[way].counter);
-  mt_metrics_took (s->frontend->options.metrics, MT_LATENCY_SUBMIT, took);
-  mt_journal_tell (s->frontend->options.journal, ways[way].event,
-                   "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT, s->id, s->pool,
-                   status, why, took);
+  mt_metrics_increment (s->frontend->options.metrics, ways[way].counter);
+  mt_metrics_observe (s->frontend->options.metrics, MT_LATENCY_SUBMIT, took);
+  mt_journal_log (s->frontend->options.journal, ways[way].event,
+                  "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT, s->id, s->pool,
+                  status, why, took);
   mt_frontend_answer (s->exchange, status, NULL, retry_after_s (s, status));
   s->frontend->busy--;
   free_submit (s);
@@ -137,8 +137,8 @@
   struct mt_pool_submission theirs;
   bool same;
 
-  mt_pool_read_value ((struct mt_str){ s->value, s->value_len }, &mine);
-  same = mt_pool_read_value (item->value, &theirs) && mt_str_equal (theirs.body, mine.body)
+  mt_pool_submission_unpack ((struct mt_str){ s->value, s->value_len }, &mine);
+  same = mt_pool_submission_unpack (item->value, &theirs) && mt_str_equal (theirs.body, mine.body)
          && strcmp (theirs.route, mine.route) == 0
          && strcmp (theirs.workspace, mine.workspace) == 0;
   mt_pool_submission_clear (&theirs);
@@ -351,7 +351,8 @@
   struct mt_mesh_args args
       = { 3, { mt_str_from (s->pool), mt_str_from (route), mt_str_from (chain) } };
 
-  if (local != NULL && mt_pool_is_loaded (local) && mt_cluster_is_sure (frontend->options.cluster))
+  if (local != NULL && mt_pool_is_loaded (local)
+      && mt_cluster_lease_is_valid (frontend->options.cluster))
     settle_outlook (
         s, mt_scheduler_estimate_wait (mt_pool_scheduler (local), route, chain_ms, mt_loop_now ())
                .retry_after_ms);
@@ -383,18 +384,19 @@
   struct mt_str body = mt_exchange_body (exchange);
   struct mt_pool_submission submission = { .route = route->name,
                                            .workspace = (char *) workspace,
-                                           .accepted_ms = mt_loop_wall (),
+                                           .accepted_ms = mt_loop_wall_ms (),
                                            .body = body };
-  struct mt_job_spec *spec = frontend->options.words->ops->job (id, route->name, body, &error);
+  struct mt_job_spec *spec
+      = frontend->options.words->ops->parse_job (id, route->name, body, &error);
   struct submit *s;
   int64_t chain_ms;
   bool asks;
 
   if (spec == NULL)
     {
-      mt_metrics_count (frontend->options.metrics, MT_COUNT_REFUSED);
-      mt_journal_tell (frontend->options.journal, "JOB_REFUSED", "id=%s pool=%s status=400 why=%s",
-                       id, route->pool, error->message);
+      mt_metrics_increment (frontend->options.metrics, MT_COUNT_REFUSED);
+      mt_journal_log (frontend->options.journal, "JOB_REFUSED", "id=%s pool=%s status=400 why=%s",
+                      id, route->pool, error->message);
       mt_exchange_answer (exchange, 400, "text/plain", mt_str_from (error->message), 0);
       return;
     }
@@ -407,7 +409,7 @@
   s->pool = g_strdup (route->pool);
   s->id = g_strdup (id);
   s->key = mt_pool_job_key (route->pool, id);
-  s->value = mt_pool_value (&submission, &s->value_len);
+  s->value = mt_pool_submission_pack (&submission, &s->value_len);
   s->began = mt_loop_now ();
   frontend->busy++;
   if (!store_answers (frontend))
--- a/fleet/journal.c
+++ b/fleet/journal.c
@@ -157,7 +157,7 @@
 static void
 append_line (struct mt_journal *j, int id, const char *event, const char *fields)
 {
-  int64_t wall = mt_loop_wall ();
+  int64_t wall = mt_loop_wall_ms ();
 
   g_string_append_printf (j->held,
                           "{\"at\":%" G_GINT64_FORMAT ".%03d,\"daemon\":\"%s\",\"event\":%d,"
@@ -189,7 +189,7 @@
 }
 
 void
-mt_journal_tell (struct mt_journal *j, const char *event, const char *format, ...)
+mt_journal_log (struct mt_journal *j, const char *event, const char *format, ...)
 {
   const struct mt_event_info *info;
   struct bound *bound = &j->bounds[find_event (event, &info)];
--- a/fleet/journal.h
+++ b/fleet/journal.h
@@ -11,7 +11,7 @@
 struct mt_journal *mt_journal_create (int fd, const char *name);
 void mt_journal_destroy (struct mt_journal *journal);
 /* event: a name of the catalogue; format gives "key=value ..." fields. */
-void mt_journal_tell (struct mt_journal *journal, const char *event, const char *format, ...)
+void mt_journal_log (struct mt_journal *journal, const char *event, const char *format, ...)
     G_GNUC_PRINTF (3, 4);
 /* Tells what was left out since the last call; once a second. */
 void mt_journal_flush (struct mt_journal *journal);
--- a/fleet/loop.c
+++ b/fleet/loop.c
@@ -28,7 +28,7 @@
 }
 
 int64_t
-mt_loop_wall (void)
+mt_loop_wall_ms (void)
 {
   return read_clock (CLOCK_REALTIME);
 }
@@ -79,7 +79,7 @@
 }
 
 void
-mt_timer_sooner (struct mt_timer *timer, int64_t after_ms)
+mt_timer_set_if_sooner (struct mt_timer *timer, int64_t after_ms)
 {
   if (timer->due == 0 || mt_loop_now () + after_ms < timer->due)
     mt_timer_set (timer, after_ms);
--- a/fleet/loop.h
+++ b/fleet/loop.h
@@ -10,7 +10,7 @@
 /* Milliseconds of a clock that counts suspension: leases run on while a machine is frozen. */
 int64_t mt_loop_now (void);
 /* Unix time in milliseconds; may jump. */
-int64_t mt_loop_wall (void);
+int64_t mt_loop_wall_ms (void);
 
 typedef void (*mt_timer_call) (void *ctx);
 struct mt_timer;
@@ -21,6 +21,6 @@
 void mt_timer_set (struct mt_timer *timer, int64_t after_ms);
 void mt_timer_clear (struct mt_timer *timer);
 /* Sets it only where that is sooner than what is set. */
-void mt_timer_sooner (struct mt_timer *timer, int64_t after_ms);
+void mt_timer_set_if_sooner (struct mt_timer *timer, int64_t after_ms);
 
 #endif
--- a/fleet/metrics.c
+++ b/fleet/metrics.c
@@ -12,20 +12,21 @@
 static const struct meaning counters[MT_COUNTERS] = {
   [MT_COUNT_ACCEPTED] = { "jobs_accepted_total", "Jobs stored and acknowledged." },
   [MT_COUNT_REFUSED] = { "jobs_refused_total", "Jobs refused; they never run." },
-  [MT_COUNT_UNSETTLED] = { "jobs_unsettled_total", "Submissions without a known outcome." },
+  [MT_COUNT_OUTCOME_UNKNOWN] = { "jobs_unsettled_total", "Submissions without a known outcome." },
   [MT_COUNT_CANCELS] = { "cancels_total", "Cancellings stored." },
-  [MT_COUNT_ASKED] = { "questions_total", "Questions about jobs and queues." },
-  [MT_COUNT_ASKED_LEADER]
+  [MT_COUNT_QUERIES] = { "questions_total", "Questions about jobs and queues." },
+  [MT_COUNT_QUERIES_LEADER]
   = { "questions_leader_total", "Questions answered by the pool's leader." },
-  [MT_COUNT_ASKED_STORE] = { "questions_store_total", "Questions that needed the store." },
-  [MT_COUNT_UNANSWERED] = { "questions_unanswered_total", "Questions without an answer in time." },
+  [MT_COUNT_QUERIES_STORE] = { "questions_store_total", "Questions that needed the store." },
+  [MT_COUNT_QUERIES_UNANSWERED]
+  = { "questions_unanswered_total", "Questions without an answer in time." },
   [MT_COUNT_UNAUTHORIZED] = { "calls_unauthorized_total", "Calls without a key that holds." },
-  [MT_COUNT_DUTIES_LOST] = { "duties_lost_total", "Leaderships lost." },
+  [MT_COUNT_LEADERSHIPS_LOST] = { "duties_lost_total", "Leaderships lost." },
 };
 
 static const struct meaning latencies[MT_LATENCIES] = {
   [MT_LATENCY_SUBMIT] = { "submit_milliseconds", "From a whole submission to its answer." },
-  [MT_LATENCY_ASK] = { "question_milliseconds", "From a whole question to its answer." },
+  [MT_LATENCY_QUERY] = { "question_milliseconds", "From a whole question to its answer." },
 };
 
 static const struct meaning gauges[MT_GAUGES] = {
@@ -66,7 +67,7 @@
 }
 
 void
-mt_metrics_count (struct mt_metrics *m, enum mt_counter counter)
+mt_metrics_increment (struct mt_metrics *m, enum mt_counter counter)
 {
   m->counts[counter]++;
 }
@@ -78,7 +79,7 @@
 }
 
 void
-mt_metrics_took (struct mt_metrics *m, enum mt_latency latency, int64_t ms)
+mt_metrics_observe (struct mt_metrics *m, enum mt_latency latency, int64_t ms)
 {
   size_t i = 0;
 
--- a/fleet/metrics.h
+++ b/fleet/metrics.h
@@ -13,21 +13,21 @@
 {
   MT_COUNT_ACCEPTED,
   MT_COUNT_REFUSED,
-  MT_COUNT_UNSETTLED,
+  MT_COUNT_OUTCOME_UNKNOWN,
   MT_COUNT_CANCELS,
-  MT_COUNT_ASKED,
-  MT_COUNT_ASKED_LEADER,
-  MT_COUNT_ASKED_STORE,
-  MT_COUNT_UNANSWERED,
+  MT_COUNT_QUERIES,
+  MT_COUNT_QUERIES_LEADER,
+  MT_COUNT_QUERIES_STORE,
+  MT_COUNT_QUERIES_UNANSWERED,
   MT_COUNT_UNAUTHORIZED,
-  MT_COUNT_DUTIES_LOST,
+  MT_COUNT_LEADERSHIPS_LOST,
   MT_COUNTERS,
 };
 
 enum mt_latency
 {
   MT_LATENCY_SUBMIT,
-  MT_LATENCY_ASK,
+  MT_LATENCY_QUERY,
   MT_LATENCIES,
 };
 
@@ -47,8 +47,8 @@
 
 struct mt_metrics *mt_metrics_create (void);
 void mt_metrics_destroy (struct mt_metrics *metrics);
-void mt_metrics_count (struct mt_metrics *metrics, enum mt_counter counter);
-void mt_metrics_took (struct mt_metrics *metrics, enum mt_latency latency, int64_t ms);
+void mt_metrics_increment (struct mt_metrics *metrics, enum mt_counter counter);
+void mt_metrics_observe (struct mt_metrics *metrics, enum mt_latency latency, int64_t ms);
 void mt_metrics_set (struct mt_metrics *metrics, enum mt_gauge gauge, int64_t value);
 /* g_free the text. */
 char *mt_metrics_text (const struct mt_metrics *metrics,
--- a/fleet/neighbours.c
+++ b/fleet/neighbours.c
@@ -13,7 +13,7 @@
 
 /* Only a leader whose lease holds by its own clock answers for its pool. */
 static void
-reply_of_pool (const struct mt_neighbours *n,
+reply_of_pool (const struct mt_peer_service *n,
                struct mt_mesh_call *call,
                enum mt_mesh_method method,
                struct mt_pool *pool,
@@ -22,7 +22,7 @@
 {
   char text[24];
 
-  if (pool == NULL || !mt_pool_is_loaded (pool) || !mt_cluster_is_sure (n->cluster))
+  if (pool == NULL || !mt_pool_is_loaded (pool) || !mt_cluster_lease_is_valid (n->cluster))
     {
       mt_mesh_reply (call, NULL);
       return;
@@ -38,7 +38,7 @@
 
 /* A leader that is not sure of itself knows nothing of what its pool can do. */
 static void
-reply_outlook (const struct mt_neighbours *n,
+reply_outlook (const struct mt_peer_service *n,
                struct mt_mesh_call *call,
                struct mt_pool *pool,
                const struct mt_mesh_args *args)
@@ -48,7 +48,7 @@
   struct mt_wait_estimate outlook;
   char text[24];
 
-  if (!mt_pool_is_loaded (pool) || !mt_cluster_is_sure (n->cluster)
+  if (!mt_pool_is_loaded (pool) || !mt_cluster_lease_is_valid (n->cluster)
       || !mt_str_to_u64 (args->at[2], &chain_ms))
     {
       mt_mesh_reply (call, NULL);
@@ -63,22 +63,22 @@
 static void
 reply_report (struct mt_mesh_call *call, struct mt_pool *pool, const struct mt_mesh_args *args)
 {
-  struct mt_fleet_leader_notes notes
+  struct mt_pool_directives notes
       = { args->at[1], args->at[2], args->at[3], args->at[4], args->at[5] };
   size_t len = 0;
-  g_autofree char *bytes = mt_fleet_leader_serve (pool, &notes, &len);
+  g_autofree char *bytes = mt_pool_apply_directives (pool, &notes, &len);
   struct mt_mesh_args reply = { 1, { { bytes, len } } };
 
   mt_mesh_reply (call, bytes != NULL ? &reply : NULL);
 }
 
 void
-mt_neighbours_handle (void *ctx,
-                      struct mt_mesh_call *call,
-                      enum mt_mesh_method method,
-                      const struct mt_mesh_args *args)
+mt_peer_service_handle (void *ctx,
+                        struct mt_mesh_call *call,
+                        enum mt_mesh_method method,
+                        const struct mt_mesh_args *args)
 {
-  const struct mt_neighbours *n = ctx;
+  const struct mt_peer_service *n = ctx;
   g_autofree char *name = args->n > 0 ? g_strndup (args->at[0].data, args->at[0].len) : NULL;
   g_autofree char *what = args->n > 1 ? g_strndup (args->at[1].data, args->at[1].len) : NULL;
   struct mt_pool *pool = name != NULL ? n->local (n->ctx, name) : NULL;
@@ -87,12 +87,12 @@
     {
     case MT_MESH_SUBMITTED:
       if (pool != NULL && args->n == 3)
-        mt_pool_submitted (pool, what, args->at[2], true);
+        mt_pool_handle_submission (pool, what, args->at[2], true);
       mt_mesh_reply (call, NULL);
       return;
     case MT_MESH_CANCELLED:
       if (pool != NULL && args->n == 2)
-        mt_pool_cancelled (pool, what);
+        mt_pool_handle_cancel (pool, what);
       mt_mesh_reply (call, NULL);
       return;
     case MT_MESH_STATE:
--- a/fleet/neighbours.h
+++ b/fleet/neighbours.h
@@ -9,7 +9,7 @@
 #include "relay.h"
 
 /* What they are answered from; belongs to whoever made it, and outlives the mesh. */
-struct mt_neighbours
+struct mt_peer_service
 {
   struct mt_cluster *cluster;
   struct mt_relay *relay;
@@ -18,10 +18,10 @@
   void *ctx;
 };
 
-/* A mesh's handler, with a struct mt_neighbours. */
-void mt_neighbours_handle (void *ctx,
-                           struct mt_mesh_call *call,
-                           enum mt_mesh_method method,
-                           const struct mt_mesh_args *args);
+/* A mesh's handler, with a struct mt_peer_service. */
+void mt_peer_service_handle (void *ctx,
+                             struct mt_mesh_call *call,
+                             enum mt_mesh_method method,
+                             const struct mt_mesh_args *args);
 
 #endif
--- a/fleet/pool.c
+++ b/fleet/pool.c
@@ -91,7 +91,7 @@
 give_up (struct mt_pool *pool, const char *why)
 {
   if (!pool->destroyed)
-    mt_cluster_give_up (pool->options.cluster, pool->name, why);
+    mt_cluster_drop_leadership (pool->options.cluster, pool->name, why);
 }
 
 /* ---- durability ---- */
@@ -214,7 +214,7 @@
 static void
 begin_cycle (struct mt_pool *pool, int64_t now)
 {
-  GPtrArray *ids = mt_scheduler_cycle_begin (pool->sched, now, mt_loop_wall ());
+  GPtrArray *ids = mt_scheduler_cycle_begin (pool->sched, now, mt_loop_wall_ms ());
 
   if (ids == NULL)
     return;
@@ -330,8 +330,8 @@
 {
   struct mt_order order;
 
-  while (!mt_cluster_is_sure (pool->options.cluster)
-         && mt_cluster_unsure_ms (pool->options.cluster) < OUTAGE_MS
+  while (!mt_cluster_lease_is_valid (pool->options.cluster)
+         && mt_cluster_lease_invalid_ms (pool->options.cluster) < OUTAGE_MS
          && pool->options.store_is_out (pool->options.ctx)
          && mt_scheduler_next_hold (pool->sched, mt_loop_now (), &order))
     {
@@ -356,7 +356,7 @@
 {
   struct mt_order order;
 
-  while (mt_cluster_is_sure (pool->options.cluster) && next_order (pool, &order))
+  while (mt_cluster_lease_is_valid (pool->options.cluster) && next_order (pool, &order))
     {
       send_order (pool, &order, mt_loop_now ());
       mt_order_clear (&order);
@@ -423,7 +423,7 @@
       if (now - pool->cycle_began >= CYCLE_MS)
         begin_cycle (pool, now);
       else
-        mt_timer_sooner (pool->tick, CYCLE_MS - (now - pool->cycle_began));
+        mt_timer_set_if_sooner (pool->tick, CYCLE_MS - (now - pool->cycle_began));
     }
   if (!pool->destroyed)
     send_orders (pool);
@@ -455,8 +455,8 @@
 finish_load (struct mt_pool *pool)
 {
   pool->loaded = true;
-  mt_journal_tell (pool->options.journal, "POOL_LOADED", "pool=%s token=%" G_GINT64_FORMAT,
-                   pool->name, pool->options.token);
+  mt_journal_log (pool->options.journal, "POOL_LOADED", "pool=%s token=%" G_GINT64_FORMAT,
+                  pool->name, pool->options.token);
   mt_timer_set (pool->tick, 0);
 }
 
@@ -483,8 +483,8 @@
 
       if (!mt_scheduler_restore (pool->sched, mt_pool_key_id (item->key), record, item->revision,
                                  mt_loop_now ()))
-        mt_journal_tell (pool->options.journal, "RECORD_UNREADABLE", "pool=%s key=%s", pool->name,
-                         item->key);
+        mt_journal_log (pool->options.journal, "RECORD_UNREADABLE", "pool=%s key=%s", pool->name,
+                        item->key);
     }
   g_free (pool->load_after);
   pool->load_after
@@ -524,13 +524,13 @@
   if (item->deleted)
     return;
   if (mt_pool_key_is_cancel (pool->name, item->key))
-    mt_pool_cancelled (pool, mt_pool_key_id (item->key));
+    mt_pool_handle_cancel (pool, mt_pool_key_id (item->key));
   else
-    mt_pool_submitted (pool, item->key, item->value, false);
+    mt_pool_handle_submission (pool, item->key, item->value, false);
 }
 
 void
-mt_pool_submitted (struct mt_pool *pool, const char *key, struct mt_str value, bool fresh)
+mt_pool_handle_submission (struct mt_pool *pool, const char *key, struct mt_str value, bool fresh)
 {
   const char *id = mt_pool_key_id (key);
   struct mt_pool_submission submission;
@@ -539,19 +539,19 @@
 
   if (mt_scheduler_has_job (pool->sched, id))
     return;
-  if (mt_pool_read_value (value, &submission))
-    spec = pool->options.words->ops->job (id, submission.route, submission.body, &error);
+  if (mt_pool_submission_unpack (value, &submission))
+    spec = pool->options.words->ops->parse_job (id, submission.route, submission.body, &error);
   if (spec == NULL)
     {
-      mt_journal_tell (pool->options.journal, "RECORD_UNREADABLE", "pool=%s key=%s why=%s",
-                       pool->name, key, error != NULL ? error->message : "no submission");
+      mt_journal_log (pool->options.journal, "RECORD_UNREADABLE", "pool=%s key=%s why=%s",
+                      pool->name, key, error != NULL ? error->message : "no submission");
       mt_pool_submission_clear (&submission);
       return;
     }
   spec->accepted_ms = submission.accepted_ms;
   spec->workspace = g_strdup (submission.workspace);
   mt_scheduler_submit (pool->sched, spec, mt_loop_now (),
-                       fresh ? submission.accepted_ms : mt_loop_wall ());
+                       fresh ? submission.accepted_ms : mt_loop_wall_ms ());
   mt_pool_submission_clear (&submission);
   if (g_hash_table_contains (pool->early_cancels, id))
     mt_scheduler_cancel (pool->sched, id, mt_loop_now ());
@@ -559,7 +559,7 @@
 }
 
 void
-mt_pool_cancelled (struct mt_pool *pool, const char *id)
+mt_pool_handle_cancel (struct mt_pool *pool, const char *id)
 {
   if (mt_scheduler_cancel (pool->sched, id, mt_loop_now ()))
     wake (pool);
@@ -574,7 +574,7 @@
 {
   struct mt_pool *pool = ctx;
 
-  mt_journal_tell (pool->options.journal, name, "pool=%s %s", pool->name, detail);
+  mt_journal_log (pool->options.journal, name, "pool=%s %s", pool->name, detail);
 }
 
 struct mt_pool *
@@ -632,7 +632,7 @@
 {
   const char *owner = mt_scheduler_job_workspace (pool->sched, id);
 
-  if (owner == NULL || !mt_pool_may_see (owner, workspace))
+  if (owner == NULL || !mt_pool_job_is_visible (owner, workspace))
     return MT_JOB_UNKNOWN;
   return mt_scheduler_job_state (pool->sched, id);
 }
--- a/fleet/pool.h
+++ b/fleet/pool.h
@@ -16,7 +16,7 @@
   int64_t token;
   struct mt_kv kv;
   struct mt_workers workers;
-  const struct mt_words *words;
+  const struct mt_codec *words;
   struct mt_cluster *cluster;
   struct mt_scheduler_settings sched; /* its name is the pool's */
   /* Nobody reaches the store, as far as this daemon can learn. */
@@ -42,7 +42,8 @@
 void mt_pool_wake (struct mt_pool *pool);
 
 /* key: of the job in the store; value: as it is stored. The job is durable. */
-void mt_pool_submitted (struct mt_pool *pool, const char *key, struct mt_str value, bool fresh);
-void mt_pool_cancelled (struct mt_pool *pool, const char *id);
+void
+mt_pool_handle_submission (struct mt_pool *pool, const char *key, struct mt_str value, bool fresh);
+void mt_pool_handle_cancel (struct mt_pool *pool, const char *id);
 
 #endif
--- a/fleet/pool_keys.c
+++ b/fleet/pool_keys.c
@@ -62,7 +62,7 @@
 }
 
 char *
-mt_pool_value (const struct mt_pool_submission *submission, size_t *len)
+mt_pool_submission_pack (const struct mt_pool_submission *submission, size_t *len)
 {
   struct mt_str body = submission->body;
   GString *out = g_string_sized_new (body.len + 64);
@@ -76,7 +76,7 @@
 
 /* Of a value that was written before there were workspaces the second line ends with the time. */
 bool
-mt_pool_read_value (struct mt_str value, struct mt_pool_submission *out)
+mt_pool_submission_unpack (struct mt_str value, struct mt_pool_submission *out)
 {
   const char *end = value.data + value.len;
   const char *first = value.len > 0 ? memchr (value.data, '\n', value.len) : NULL;
@@ -96,7 +96,7 @@
 }
 
 bool
-mt_pool_may_see (const char *owner, const char *workspace)
+mt_pool_job_is_visible (const char *owner, const char *workspace)
 {
   return owner[0] == '\0' || strcmp (owner, workspace) == 0;
 }
--- a/fleet/pool_keys.h
+++ b/fleet/pool_keys.h
@@ -26,12 +26,12 @@
   struct mt_str body;  /* as it came */
 };
 
-char *mt_pool_value (const struct mt_pool_submission *submission, size_t *len);
+char *mt_pool_submission_pack (const struct mt_pool_submission *submission, size_t *len);
 /* False for what can't be read. The body borrows from value; the rest is freed by
  * mt_pool_submission_clear, also after false. */
-bool mt_pool_read_value (struct mt_str value, struct mt_pool_submission *out);
+bool mt_pool_submission_unpack (struct mt_str value, struct mt_pool_submission *out);
 void mt_pool_submission_clear (struct mt_pool_submission *submission);
 /* A job is seen and cancelled by its own workspace only; one of nobody's by whoever has a key. */
-bool mt_pool_may_see (const char *owner, const char *workspace);
+bool mt_pool_job_is_visible (const char *owner, const char *workspace);
 
 #endif
--- a/fleet/ports.h
+++ b/fleet/ports.h
@@ -24,7 +24,7 @@
   MT_KV_OK,
   MT_KV_MISSING,   /* no such key, or no such lease */
   MT_KV_CONFLICT,  /* an expectation did not hold: nothing was done */
-  MT_KV_FORGOTTEN, /* that much history is no longer there: list again */
+  MT_KV_COMPACTED, /* that much history is no longer there: list again */
   MT_KV_REFUSED,   /* nothing was done */
   MT_KV_UNKNOWN,   /* no answer: it may have been done, or be done yet */
 };
@@ -85,8 +85,8 @@
   void (*txn) (
       void *ctx, const struct mt_kv_txn *txn, int64_t timeout_ms, mt_kv_done done, void *data);
   void (*grant) (void *ctx, int64_t ttl_ms, mt_kv_done done, void *data);
-  void (*keep) (void *ctx, int64_t lease, int64_t timeout_ms, mt_kv_done done, void *data);
-  void (*end) (void *ctx, int64_t lease, mt_kv_done done, void *data);
+  void (*renew) (void *ctx, int64_t lease, int64_t timeout_ms, mt_kv_done done, void *data);
+  void (*revoke) (void *ctx, int64_t lease, mt_kv_done done, void *data);
 };
 
 struct mt_kv
@@ -143,7 +143,7 @@
 {
   MT_MACHINE_UP,
   MT_MACHINE_MOVING,
-  MT_MACHINE_UPKEEP,
+  MT_MACHINE_MAINTENANCE,
   MT_MACHINE_DOWN,
 };
 
@@ -155,7 +155,7 @@
   char *zone;
   char *rack;
   char *worker; /* its present life; NULL where there is none */
-  struct mt_resources room;
+  struct mt_resources resources;
 };
 
 /* machines: NULL where there was no answer. */
@@ -183,12 +183,12 @@
                 int64_t token,
                 mt_machine_done done,
                 void *data);
-  void (*upkeep) (void *ctx,
-                  const char *machine,
-                  int64_t wave,
-                  int64_t token,
-                  mt_machine_done done,
-                  void *data);
+  void (*maintain) (void *ctx,
+                    const char *machine,
+                    int64_t wave,
+                    int64_t token,
+                    mt_machine_done done,
+                    void *data);
 };
 
 struct mt_machines
@@ -206,8 +206,8 @@
   char *prefix;
   char *pool;
   struct mt_route_policy terms;
-  bool advice;  /* only workers named by the advisor may run its steps */
-  bool keyless; /* its callers need no key */
+  bool requires_advice; /* only workers named by the advisor may run its steps */
+  bool allow_anonymous; /* its callers need no key */
 };
 
 struct mt_fleet_pool
@@ -236,32 +236,32 @@
 struct mt_wave
 {
   int64_t number;
-  char **machines; /* NULL-terminated */
-  int64_t due_ms;  /* from when it was asked for */
-  unsigned cap;    /* down for it at a time */
+  char **machines;          /* NULL-terminated */
+  int64_t deadline_ms;      /* from when it was asked for */
+  unsigned max_unavailable; /* down for it at a time */
 };
 
-struct mt_words_ops
+struct mt_codec_ops
 {
   const char *name;
   const char *description;
   /* NULL with an error that names the place. */
-  struct mt_fleet_config *(*config) (struct mt_str text, GError **error);
-  struct mt_job_spec *(*job) (const char *id,
-                              const char *route,
-                              struct mt_str text,
-                              GError **error);
+  struct mt_fleet_config *(*parse_config) (struct mt_str text, GError **error);
+  struct mt_job_spec *(*parse_job) (const char *id,
+                                    const char *route,
+                                    struct mt_str text,
+                                    GError **error);
   /* False where it names no worker to use. */
-  bool (*worker) (const char *key, struct mt_str text, struct mt_registry_entry *out);
-  struct mt_wave *(*wave) (struct mt_str text);
-  char *(*wave_status) (bool completed);
-  char *(*job_state) (enum mt_job_state state);
-  char *(*pending) (unsigned jobs);
+  bool (*parse_worker) (const char *key, struct mt_str text, struct mt_registry_entry *out);
+  struct mt_wave *(*parse_wave) (struct mt_str text);
+  char *(*format_wave_status) (bool completed);
+  char *(*format_job_state) (enum mt_job_state state);
+  char *(*format_pending) (unsigned jobs);
 };
 
-struct mt_words
+struct mt_codec
 {
-  const struct mt_words_ops *ops;
+  const struct mt_codec_ops *ops;
   const char *key_header; /* in which a caller sends its key */
   /* Where the platform keeps what others write. */
   const char *config_key;
--- a/fleet/relay.c
+++ b/fleet/relay.c
@@ -52,7 +52,7 @@
 static char *
 choose (struct mt_relay *relay)
 {
-  g_auto (GStrv) others = mt_cluster_others (relay->cluster);
+  g_auto (GStrv) others = mt_cluster_peers (relay->cluster);
   guint n = g_strv_length (others);
   guint from = n > 0 ? (guint) g_random_int_range (0, (gint32) n) : 0;
 
@@ -78,7 +78,7 @@
 
   if (args != NULL && args->n == 2 && mt_str_to_u64 (args->at[0], &status))
     body = args->at[1];
-  if (args != NULL && args->n == 0 && mt_cluster_is_witness (relay->cluster, p->neighbour))
+  if (args != NULL && args->n == 0 && mt_cluster_can_confirm_outage (relay->cluster, p->neighbour))
     relay->also_lost = mt_loop_now ();
   else if (status != 0 && status != 503)
     relay->helped = mt_loop_now ();
--- a/fleet/roster.c
+++ b/fleet/roster.c
@@ -59,7 +59,7 @@
 {
   struct mt_registry_entry entry;
 
-  if (!r->options.words->ops->worker (key, (struct mt_str){ l->text, l->len }, &entry))
+  if (!r->options.words->ops->parse_worker (key, (struct mt_str){ l->text, l->len }, &entry))
     return;
   r->options.seen (r->options.ctx, &entry);
   mt_registry_entry_clear (&entry);
@@ -72,7 +72,7 @@
   struct mt_registry_entry entry;
   struct listed *l;
 
-  if (item->deleted || !r->options.words->ops->worker (item->key, item->value, &entry))
+  if (item->deleted || !r->options.words->ops->parse_worker (item->key, item->value, &entry))
     {
       drop (r, item->key);
       return;
@@ -90,7 +90,7 @@
 }
 
 void
-mt_roster_tell (struct mt_roster *r, const char *pool)
+mt_roster_replay (struct mt_roster *r, const char *pool)
 {
   GHashTableIter it;
   const char *key;
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -11,7 +11,7 @@
 struct mt_roster_options
 {
   struct mt_kv kv;
-  const struct mt_words *words;
+  const struct mt_codec *words;
   void (*seen) (void *ctx, const struct mt_registry_entry *entry);
   void (*gone) (void *ctx, const char *pool, const char *id);
   void *ctx;
@@ -21,6 +21,6 @@
                                     const struct mt_roster_options *options);
 void mt_roster_destroy (struct mt_roster *registry);
 /* Tells of every worker of the pool again, for one that has just begun to lead it. */
-void mt_roster_tell (struct mt_roster *registry, const char *pool);
+void mt_roster_replay (struct mt_roster *registry, const char *pool);
 
 #endif
--- a/fleet/settings.c
+++ b/fleet/settings.c
@@ -42,7 +42,7 @@
 };
 
 bool
-mt_fleet_settings_meant (struct mt_str json)
+mt_fleet_settings_detect (struct mt_str json)
 {
   json_t *root = json_loadb (json.data, json.len, 0, NULL);
   bool meant = json_object_get (root, "store") != NULL;
--- a/fleet/settings.h
+++ b/fleet/settings.h
@@ -42,6 +42,6 @@
 struct mt_fleet_settings *mt_fleet_settings_parse (struct mt_str json, GError **error);
 void mt_fleet_settings_destroy (struct mt_fleet_settings *settings);
 /* Whether the text is meant as these settings and not as those of medlartrack/settings.h. */
-bool mt_fleet_settings_meant (struct mt_str json);
+bool mt_fleet_settings_detect (struct mt_str json);
 
 #endif
--- a/fleet/watcher.c
+++ b/fleet/watcher.c
@@ -132,7 +132,7 @@
 
   if (ended_meanwhile (w))
     return;
-  if (reply->status == MT_KV_FORGOTTEN)
+  if (reply->status == MT_KV_COMPACTED)
     {
       w->listed = false;
       step (w);
@@ -200,7 +200,7 @@
 }
 
 int64_t
-mt_watcher_heard (const struct mt_watcher *w)
+mt_watcher_last_answer (const struct mt_watcher *w)
 {
   return w->heard;
 }
--- a/fleet/watcher.h
+++ b/fleet/watcher.h
@@ -28,6 +28,6 @@
 /* May be called from its own callbacks. */
 void mt_watcher_destroy (struct mt_watcher *watcher);
 /* When the store last answered it, by mt_loop_now; 0 for never. */
-int64_t mt_watcher_heard (const struct mt_watcher *watcher);
+int64_t mt_watcher_last_answer (const struct mt_watcher *watcher);
 
 #endif
--- a/tests/fleet/test_journal.c
+++ b/tests/fleet/test_journal.c
@@ -19,7 +19,7 @@
   g_autoptr (GString) text = g_string_new (NULL);
 
   for (unsigned i = 0; i < 500; i++)
-    mt_journal_tell (journal, "TASK_LOST", "id=%u", i);
+    mt_journal_log (journal, "TASK_LOST", "id=%u", i);
   mt_journal_append_metrics (journal, text);
   assert_non_null (strstr (text->str, "medlartrack_events_total{event=\"TASK_LOST\"} 500\n"));
   assert_null (strstr (text->str, "WORKER_LOST"));
--- a/tests/fleet/test_pool_keys.c
+++ b/tests/fleet/test_pool_keys.c
@@ -12,7 +12,7 @@
 {
   struct mt_pool_submission read;
 
-  assert_true (mt_pool_read_value (mt_str_from (text), &read));
+  assert_true (mt_pool_submission_unpack (mt_str_from (text), &read));
   assert_string_equal (read.route, "quotes");
   assert_string_equal (read.workspace, workspace);
   assert_int_equal (read.accepted_ms, 1781923329000);
@@ -28,7 +28,7 @@
                                         .accepted_ms = 1781923329000,
                                         .body = MT_STR ("{\"steps\":\n[]}") };
   size_t len = 0;
-  g_autofree char *value = mt_pool_value (&written, &len);
+  g_autofree char *value = mt_pool_submission_pack (&written, &len);
 
   assert_int_equal (strlen (value), len);
   check_read (value, "yard");
@@ -51,7 +51,7 @@
     {
       struct mt_pool_submission read;
 
-      assert_false (mt_pool_read_value (mt_str_from (texts[i]), &read));
+      assert_false (mt_pool_submission_unpack (mt_str_from (texts[i]), &read));
       mt_pool_submission_clear (&read);
     }
 }
@@ -60,10 +60,10 @@
 static void
 test_job_is_seen_by_its_own_workspace_only (void **state)
 {
-  assert_true (mt_pool_may_see ("yard", "yard"));
-  assert_false (mt_pool_may_see ("yard", "press"));
-  assert_false (mt_pool_may_see ("yard", ""));
-  assert_true (mt_pool_may_see ("", "press"));
+  assert_true (mt_pool_job_is_visible ("yard", "yard"));
+  assert_false (mt_pool_job_is_visible ("yard", "press"));
+  assert_false (mt_pool_job_is_visible ("yard", ""));
+  assert_true (mt_pool_job_is_visible ("", "press"));
 }
 
 int
--- a/tests/platform/test_words.c
+++ b/tests/platform/test_words.c
@@ -19,9 +19,9 @@
         "{\"name\":\"one\",\"host\":\"h.example\",\"prefix\":\"/b/\",\"service\":\"s\"},"
         "{\"name\":\"two\",\"host\":\"h.example\",\"service\":\"s\"}],"
         "\"services\":[{\"standby\":true},{\"name\":\"s\"}]}";
-  struct mt_words words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_words ();
   g_autoptr (GError) error = NULL;
-  struct mt_fleet_config *config = words.ops->config (mt_str_from (text), &error);
+  struct mt_fleet_config *config = words.ops->parse_config (mt_str_from (text), &error);
 
   assert_null (error);
   assert_non_null (config);
@@ -45,13 +45,13 @@
                                        "{\"version\":3}",
                                        "{\"version\":3,\"routes\":{},\"services\":[]}",
                                        "{\"routes\":[],\"services\":[]}" };
-  struct mt_words words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_words ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
     {
       g_autoptr (GError) error = NULL;
 
-      assert_null (words.ops->config (mt_str_from (texts[i]), &error));
+      assert_null (words.ops->parse_config (mt_str_from (texts[i]), &error));
       assert_non_null (error);
       assert_non_null (strstr (error->message, "write it whole"));
     }
@@ -65,17 +65,17 @@
 static void
 test_workspaces_are_read_with_keys_and_quotas (void **state)
 {
-  struct mt_words words = mt_adapter_words ();
-  struct mt_fleet_config *config
-      = words.ops->config (MT_STR (ROUTES ",\"tenants\":[{\"name\":\"yard\",\"api-keys\":[\"k1\","
-                                          "\"k2\"],\"weight\":12,\"cap\":{\"cpu\":4000,"
-                                          "\"mem-mb\":512,\"gpu\":0}},{\"name\":\"press\"}]}"),
-                           NULL);
+  struct mt_codec words = mt_adapter_words ();
+  struct mt_fleet_config *config = words.ops->parse_config (
+      MT_STR (ROUTES ",\"tenants\":[{\"name\":\"yard\",\"api-keys\":[\"k1\","
+                     "\"k2\"],\"weight\":12,\"cap\":{\"cpu\":4000,"
+                     "\"mem-mb\":512,\"gpu\":0}},{\"name\":\"press\"}]}"),
+      NULL);
   const struct mt_workspace *yard;
 
   assert_non_null (config);
-  assert_false (config->routes[0].keyless);
-  assert_true (config->routes[1].keyless);
+  assert_false (config->routes[0].allow_anonymous);
+  assert_true (config->routes[1].allow_anonymous);
   yard = mt_workspaces_by_key (config->workspaces, "k2");
   assert_string_equal (yard->name, "yard");
   assert_int_equal (yard->rate, 12);
@@ -83,7 +83,7 @@
   assert_int_equal (yard->quota.mem, 512);
   assert_null (mt_workspaces_by_key (config->workspaces, "k3"));
   mt_fleet_config_free (config);
-  config = words.ops->config (MT_STR (ROUTES "}"), NULL);
+  config = words.ops->parse_config (MT_STR (ROUTES "}"), NULL);
   assert_null (config->workspaces);
   mt_fleet_config_free (config);
 }
@@ -101,14 +101,14 @@
           "{\"name\":\"a\",\"api-keys\":[5]}",
           "{\"name\":\"a\",\"cap\":{\"cpu\":-1}}",
           "{\"name\":\"a\",\"weight\":-3}" };
-  struct mt_words words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_words ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       g_autofree char *text = g_strdup_printf (ROUTES ",\"tenants\":[%s]}", rows[i]);
       g_autoptr (GError) error = NULL;
 
-      assert_null (words.ops->config (mt_str_from (text), &error));
+      assert_null (words.ops->parse_config (mt_str_from (text), &error));
       assert_non_null (strstr (error->message, "workspace"));
       assert_null (strstr (error->message, "secret"));
     }
