--- a/core/control/assign.c
+++ b/core/control/assign.c
@@ -145,7 +145,7 @@
 mt_assign_set_home (struct mt_assign *next, struct mt_assign_record *record, const char *pool)
 {
   record->home = keep (next, pool);
-  record->mark = MT_WAVE_WAITING;
+  record->wave_state = MT_WAVE_WAITING;
 }
 
 void
@@ -162,7 +162,7 @@
   wave->id = keep (next, id);
   for (size_t i = 0; i < next->n_records; i++)
     if (strcmp (next->records[i].home, pool) == 0)
-      next->records[i].mark = MT_WAVE_WAITING;
+      next->records[i].wave_state = MT_WAVE_WAITING;
 }
 
 void
@@ -186,7 +186,7 @@
   record->pool = keep (next, pool);
   record->target = NULL;
   record->goal = MT_GOAL_NONE;
-  record->leave = 0;
+  record->leave_causes = 0;
   enter (next, record, MT_ASSIGN_SERVING, now_s);
 }
 
@@ -211,10 +211,10 @@
                  uint64_t boot,
                  int64_t now_s)
 {
-  if ((record->leave & cause) != 0)
+  if ((record->leave_causes & cause) != 0)
     return false;
-  record->leave |= cause;
-  record->left_boot = MAX (record->left_boot, boot);
+  record->leave_causes |= cause;
+  record->boot_when_left = MAX (record->boot_when_left, boot);
   if (record->state == MT_ASSIGN_SERVING)
     mt_assign_drain (next, record, MT_GOAL_LEAVE, NULL, now_s);
   else if (record->state == MT_ASSIGN_DRAINING)
@@ -242,10 +242,10 @@
  * daemon is no proof, since it may be alive behind a cut; only the platform's word that its
  * instance is gone stands in for its report. */
 bool
-mt_assign_confirmed (const struct mt_assign_record *record,
-                     const struct mt_assign_member *members,
-                     size_t n_members,
-                     const char **held_by)
+mt_assign_drain_confirmed (const struct mt_assign_record *record,
+                           const struct mt_assign_member *members,
+                           size_t n_members,
+                           const char **held_by)
 {
   for (size_t i = 0; i < n_members; i++)
     {
--- a/core/control/assign_json.c
+++ b/core/control/assign_json.c
@@ -25,12 +25,12 @@
 static json_t *
 write_record (const struct mt_assign_record *record, json_t *pools, GHashTable *numbers)
 {
-  int bits = (int) record->state | (int) record->goal << 2 | (int) record->mark << 4;
+  int bits = (int) record->state | (int) record->goal << 2 | (int) record->wave_state << 4;
 
   return json_pack (RECORD_FORMAT, record->instance, pool_number (pools, numbers, record->home),
                     pool_number (pools, numbers, record->pool),
-                    pool_number (pools, numbers, record->target), bits, (int) record->leave,
-                    (json_int_t) record->left_boot, (json_int_t) record->epoch,
+                    pool_number (pools, numbers, record->target), bits, (int) record->leave_causes,
+                    (json_int_t) record->boot_when_left, (json_int_t) record->epoch,
                     (json_int_t) record->since_s);
 }
 
@@ -96,9 +96,9 @@
   record->instance = talloc_strdup (assign, name);
   record->state = (enum mt_assign_state) (bits & 3);
   record->goal = (enum mt_assign_goal) (bits >> 2 & 3);
-  record->mark = (enum mt_wave_mark) (bits >> 4 & 3);
-  record->leave = (unsigned) leave;
-  record->left_boot = (uint64_t) boot;
+  record->wave_state = (enum mt_wave_state) (bits >> 4 & 3);
+  record->leave_causes = (unsigned) leave;
+  record->boot_when_left = (uint64_t) boot;
   record->epoch = (uint64_t) epoch;
   record->since_s = since;
   return read_pool (assign, pools, home, &record->home)
--- a/core/control/capacity.c
+++ b/core/control/capacity.c
@@ -21,7 +21,7 @@
 struct track
 {
   char *pool;
-  struct mt_capacity_learnt learnt;
+  struct mt_capacity_stats learnt;
   double stretch[STRETCH_S]; /* wanted, one for each second, a ring */
   unsigned n_stretch;
   int64_t last_s; /* 0: nothing learnt yet */
@@ -47,7 +47,7 @@
 {
   if (pool->row->max_instances > 0)
     want = MIN (want, pool->row->max_instances);
-  return MAX (want, pool->least);
+  return MAX (want, pool->min_serving);
 }
 
 /* What waits is part of what is wanted, and piles up while a surge is more than the pool holds: it
@@ -55,21 +55,22 @@
 static double
 bounded_peak (const struct mt_capacity_pool *pool)
 {
-  return MIN (pool->learnt.peak, (double) pool->home * pool->slots * HEADROOM);
+  return MIN (pool->stats.peak, (double) pool->home * pool->slots * HEADROOM);
 }
 
 static void
 decide_static (struct mt_capacity_pool *pools, size_t n)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].want = MAX (pools[i].home, pools[i].serving);
+    pools[i].desired_instances = MAX (pools[i].home, pools[i].serving);
 }
 
 static void
 decide_greedy (struct mt_capacity_pool *pools, size_t n)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].want = clamp_to_row (instances_for (pools[i].wanted, pools[i].slots), &pools[i]);
+    pools[i].desired_instances
+        = clamp_to_row (instances_for (pools[i].demand_slots, pools[i].slots), &pools[i]);
 }
 
 /* Whether moving instances into each surge and out again costs less than holding them between:
@@ -78,18 +79,18 @@
 static bool
 follows_surges (const struct mt_capacity_pool *pool)
 {
-  const struct mt_capacity_learnt *learnt = &pool->learnt;
+  const struct mt_capacity_stats *learnt = &pool->stats;
 
-  if (learnt->surges < LEARN_SURGES || learnt->surge_s <= MOVE_S)
+  if (learnt->surges < LEARN_SURGES || learnt->mean_surge_s <= MOVE_S)
     return false;
-  return pool->row->buffer_weight * learnt->period_s / HOUR_S > 2 * pool->row->move_weight;
+  return pool->row->buffer_weight * learnt->surge_interval_s / HOUR_S > 2 * pool->row->move_weight;
 }
 
 static unsigned
 base_of (const struct mt_capacity_pool *pool)
 {
   return MAX (instances_for (bounded_peak (pool) * BASE_SHARE, pool->slots),
-              instances_for (pool->learnt.recent * HEADROOM, pool->slots));
+              instances_for (pool->stats.sustained * HEADROOM, pool->slots));
 }
 
 static unsigned
@@ -99,10 +100,10 @@
 
   if (!follows_surges (pool))
     return MAX (pool->home, base);
-  if (!pool->learnt.surging)
+  if (!pool->stats.surging)
     return base;
   /* One more than the table's size works off what piled up until the moves were done. */
-  return MAX (base, MIN (instances_for (pool->wanted, pool->slots), pool->home + 1));
+  return MAX (base, MIN (instances_for (pool->demand_slots, pool->slots), pool->home + 1));
 }
 
 /* Surges come in turn, so one reserve serves all pools: as large as the greediest would borrow,
@@ -116,7 +117,7 @@
   for (size_t i = 0; i < n; i++)
     {
       const struct mt_capacity_pool *pool = &pools[i];
-      unsigned base = MIN (base_of (pool), pool->want);
+      unsigned base = MIN (base_of (pool), pool->desired_instances);
       unsigned peak = instances_for (bounded_peak (pool), pool->slots);
 
       if (pool->row->spare || !follows_surges (pool))
@@ -131,10 +132,11 @@
 decide_default (struct mt_capacity_pool *pools, size_t n)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].want = clamp_to_row (decide_pool (&pools[i]), &pools[i]);
+    pools[i].desired_instances = clamp_to_row (decide_pool (&pools[i]), &pools[i]);
   for (size_t i = 0; i < n; i++)
     if (pools[i].row->spare && follows_surges (&pools[i]))
-      pools[i].want = clamp_to_row (pools[i].want + decide_reserve (pools, n), &pools[i]);
+      pools[i].desired_instances
+          = clamp_to_row (pools[i].desired_instances + decide_reserve (pools, n), &pools[i]);
 }
 
 const struct mt_capacity_policy mt_capacity_policies[] = {
@@ -143,7 +145,7 @@
                    "shared reserve that follows learnt surges",
     .decide = decide_default,
     .moves = true,
-    .patient = true },
+    .delays_release = true },
   { .name = "static", .description = "keeps the tables' sizes", .decide = decide_static },
   { .name = "greedy",
     .description = "follows the demand of the moment, without regard to moves",
@@ -217,7 +219,7 @@
 }
 
 unsigned
-mt_capacity_want (const struct mt_capacity *capacity, const char *pool)
+mt_capacity_desired_instances (const struct mt_capacity *capacity, const char *pool)
 {
   const struct track *track = find_track (capacity, pool);
 
@@ -233,12 +235,12 @@
 static void
 learn_surge (struct track *track, double wanted, int64_t now_s)
 {
-  struct mt_capacity_learnt *learnt = &track->learnt;
+  struct mt_capacity_stats *learnt = &track->learnt;
 
   if (!learnt->surging && wanted > learnt->mean * SURGE_FACTOR + SURGE_SLOTS)
     {
       if (track->surge_began_s != 0)
-        smooth (&learnt->period_s, (double) (now_s - track->surge_began_s));
+        smooth (&learnt->surge_interval_s, (double) (now_s - track->surge_began_s));
       learnt->surging = true;
       learnt->surges++;
       track->surge_began_s = now_s;
@@ -246,14 +248,14 @@
   else if (learnt->surging && wanted <= learnt->mean)
     {
       learnt->surging = false;
-      smooth (&learnt->surge_s, (double) (now_s - track->surge_began_s));
+      smooth (&learnt->mean_surge_s, (double) (now_s - track->surge_began_s));
     }
 }
 
 static void
 learn (struct track *track, double wanted, double most, int64_t now_s)
 {
-  struct mt_capacity_learnt *learnt = &track->learnt;
+  struct mt_capacity_stats *learnt = &track->learnt;
   double passed = track->last_s == 0 ? 1 : (double) (now_s - track->last_s);
 
   if (passed <= 0)
@@ -264,23 +266,23 @@
   learnt->mean += (wanted - learnt->mean) * MIN (passed / MEAN_S, 1);
   learnt->peak = MAX (wanted, learnt->peak * exp (-passed / PEAK_S));
   track->stretch[track->n_stretch++ % STRETCH_S] = wanted;
-  learnt->recent = track->n_stretch < STRETCH_S ? 0 : wanted;
+  learnt->sustained = track->n_stretch < STRETCH_S ? 0 : wanted;
   for (unsigned i = 0; i < STRETCH_S; i++)
-    learnt->recent = MIN (learnt->recent, track->stretch[i]);
+    learnt->sustained = MIN (learnt->sustained, track->stretch[i]);
 }
 
 void
-mt_capacity_learn (struct mt_capacity *capacity,
-                   const struct mt_capacity_pool *pools,
-                   size_t n,
-                   int64_t now_s)
+mt_capacity_observe (struct mt_capacity *capacity,
+                     const struct mt_capacity_pool *pools,
+                     size_t n,
+                     int64_t now_s)
 {
   for (size_t i = 0; i < n; i++)
     {
       /* A report that lies without bound would stay in the mean for minutes. */
       double most = (double) (pools[i].home + 1) * pools[i].slots * MOST_QUEUED;
 
-      learn (make_track (capacity, pools[i].row->name.data), pools[i].wanted, most, now_s);
+      learn (make_track (capacity, pools[i].row->name.data), pools[i].demand_slots, most, now_s);
     }
 }
 
@@ -299,8 +301,8 @@
 {
   struct track *track = find_track (capacity, pool->row->name.data);
 
-  track->want = pool->want;
-  if (pool->serving <= pool->want)
+  track->want = pool->desired_instances;
+  if (pool->serving <= pool->desired_instances)
     track->surplus_since_s = 0;
   else if (track->surplus_since_s == 0)
     track->surplus_since_s = now_s;
@@ -309,7 +311,7 @@
 static bool
 has_surplus (const struct mt_capacity *capacity, const struct mt_capacity_pool *pool)
 {
-  return pool->may_give && pool->serving > pool->want;
+  return pool->can_release && pool->serving > pool->desired_instances;
 }
 
 static bool
@@ -319,14 +321,14 @@
 {
   const struct track *track = find_track (capacity, pool->row->name.data);
 
-  return !capacity->policy->patient || now_s - track->surplus_since_s >= hold_s (pool->row);
+  return !capacity->policy->delays_release || now_s - track->surplus_since_s >= hold_s (pool->row);
 }
 
 /* The spare gives down to its minimum; another pool only what it has too many. */
 static bool
 can_give (const struct mt_capacity *capacity, const struct mt_capacity_pool *pool)
 {
-  return pool->may_give && (pool->row->spare || has_surplus (capacity, pool));
+  return pool->can_release && (pool->row->spare || has_surplus (capacity, pool));
 }
 
 static const struct mt_capacity_pool *
@@ -338,7 +340,7 @@
   for (size_t i = 0; i < n; i++)
     {
       /* The spare gets its own back in time, but at once what its wave waits for. */
-      unsigned wanted = pools[i].row->spare ? pools[i].least : pools[i].want;
+      unsigned wanted = pools[i].row->spare ? pools[i].min_serving : pools[i].desired_instances;
       unsigned missing = wanted > pools[i].serving ? wanted - pools[i].serving : 0;
 
       if (missing <= most)
@@ -397,7 +399,7 @@
                     const struct mt_capacity_pool **to)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].learnt = make_track (capacity, pools[i].row->name.data)->learnt;
+    pools[i].stats = make_track (capacity, pools[i].row->name.data)->learnt;
   capacity->policy->decide (pools, n);
   for (size_t i = 0; i < n; i++)
     note_surplus (capacity, &pools[i], now_s);
--- a/core/control/moves.c
+++ b/core/control/moves.c
@@ -44,7 +44,7 @@
       const struct mt_assign_record *record = &plan->next->records[i];
       const struct mt_pool *home;
 
-      if (record->mark != MT_WAVE_WAITING || strcmp (record->pool, pool) != 0)
+      if (record->wave_state != MT_WAVE_WAITING || strcmp (record->pool, pool) != 0)
         continue;
       home = mt_planner_pool (plan, record->home);
       if (home != NULL && home->wave.id.len > 0 && !home->wave.stopped)
@@ -66,10 +66,10 @@
       pool->home++;
       pool->slots = instance->slots;
     }
-  pool->least = row->min_instances + (wave_waits (plan, row->name.data) ? 1 : 0);
+  pool->min_serving = row->min_instances + (wave_waits (plan, row->name.data) ? 1 : 0);
   pool->serving = count_serving (plan, row->name.data);
-  pool->wanted = demand_of (plan->input, row->name.data);
-  pool->may_give = mt_planner_may_drain (plan, row->name.data);
+  pool->demand_slots = demand_of (plan->input, row->name.data);
+  pool->can_release = mt_planner_may_drain (plan, row->name.data);
 }
 
 static void
@@ -115,7 +115,7 @@
   if (input->capacity == NULL)
     return;
   describe_pools (plan, pools);
-  mt_capacity_learn (input->capacity, (void *) pools->data, pools->len, input->now_s);
+  mt_capacity_observe (input->capacity, (void *) pools->data, pools->len, input->now_s);
   for (int i = 0; i < MOVES_PER_STEP; i++)
     {
       struct mt_assign_record *record;
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -101,7 +101,7 @@
 is_unavailable (const struct mt_planner_input *input, const struct mt_assign_record *record)
 {
   /* What the operator took out is no longer part of the service. */
-  if (record->state == MT_ASSIGN_OUT && (record->leave & MT_LEAVE_TABLES) != 0)
+  if (record->state == MT_ASSIGN_OUT && (record->leave_causes & MT_LEAVE_TABLES) != 0)
     return false;
   return record->state != MT_ASSIGN_SERVING || mt_planner_is_down (input, record->instance);
 }
@@ -226,13 +226,13 @@
             const char *home)
 {
   const struct mt_planner_instance *listed = mt_planner_listed (plan->input, record->instance);
-  bool by_others = (record->leave & (MT_LEAVE_PLATFORM | MT_LEAVE_REFUSAL)) != 0;
+  bool by_others = (record->leave_causes & (MT_LEAVE_PLATFORM | MT_LEAVE_REFUSAL)) != 0;
 
   if (instance == NULL || instance->leaving)
     return;
   if (listed != NULL && (listed->down || listed->leaving))
     return;
-  if (by_others && (listed == NULL || listed->boot <= record->left_boot))
+  if (by_others && (listed == NULL || listed->boot <= record->boot_when_left))
     return;
   mt_assign_serve (plan->next, record, home, plan->input->now_s);
   plan->result->changed = true;
@@ -329,7 +329,7 @@
     mt_assign_set_home (plan->next, record, record->pool);
   mt_assign_serve (plan->next, record, record->pool, plan->input->now_s);
   if (in_wave)
-    record->mark = MT_WAVE_SKIPPED;
+    record->wave_state = MT_WAVE_SKIPPED;
   plan->result->changed = true;
 }
 
@@ -341,7 +341,7 @@
   /* Decided in this very step: no daemon can have confirmed it. */
   if (record->epoch == plan->next->version)
     return;
-  if (mt_assign_confirmed (record, plan->input->members, plan->input->n_members, &held_by))
+  if (mt_assign_drain_confirmed (record, plan->input->members, plan->input->n_members, &held_by))
     {
       finish_drain (plan, record);
       return;
@@ -375,16 +375,16 @@
 
   if (listed != NULL && !listed->down && listed->epoch >= record->epoch)
     {
-      if (record->mark == MT_WAVE_WAITING)
-        record->mark = MT_WAVE_DONE;
+      if (record->wave_state == MT_WAVE_WAITING)
+        record->wave_state = MT_WAVE_DONE;
       plan->result->changed = true;
-      if ((record->leave & MT_LEAVE_TABLES) != 0)
+      if ((record->leave_causes & MT_LEAVE_TABLES) != 0)
         mt_assign_out (plan->next, record, plan->input->now_s);
       else
         mt_assign_serve (plan->next, record, record->pool, plan->input->now_s);
       return;
     }
-  if (record->leave & MT_LEAVE_TABLES)
+  if (record->leave_causes & MT_LEAVE_TABLES)
     {
       mt_assign_out (plan->next, record, plan->input->now_s);
       plan->result->changed = true;
@@ -393,9 +393,9 @@
   order_reboot (plan, record);
   if (!is_overdue (plan, record))
     return;
-  if (record->mark == MT_WAVE_WAITING)
+  if (record->wave_state == MT_WAVE_WAITING)
     {
-      record->mark = MT_WAVE_SKIPPED;
+      record->wave_state = MT_WAVE_SKIPPED;
       plan->result->changed = true;
     }
   mt_planner_report (plan,
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -29,7 +29,7 @@
 static bool
 is_under_way (const struct mt_assign_record *record)
 {
-  return record->mark == MT_WAVE_WAITING
+  return record->wave_state == MT_WAVE_WAITING
          && ((record->state == MT_ASSIGN_DRAINING && record->goal == MT_GOAL_REBOOT)
              || record->state == MT_ASSIGN_REBOOTING);
 }
@@ -45,7 +45,7 @@
     {
       const struct mt_assign_record *record = &plan->next->records[i];
 
-      if (!is_member (wave, record) || record->mark != MT_WAVE_WAITING)
+      if (!is_member (wave, record) || record->wave_state != MT_WAVE_WAITING)
         continue;
       if (is_under_way (record))
         {
@@ -95,7 +95,7 @@
     {
       struct mt_assign_record *record = &plan->next->records[i];
 
-      if (record->mark != MT_WAVE_WAITING || record->state != MT_ASSIGN_SERVING
+      if (record->wave_state != MT_WAVE_WAITING || record->state != MT_ASSIGN_SERVING
           || !is_member (wave, record) || mt_planner_is_down (plan->input, record->instance))
         continue;
       if (best != NULL
@@ -115,10 +115,10 @@
     {
       struct mt_assign_record *record = &plan->next->records[i];
 
-      if (!is_member (wave, record) || record->mark != MT_WAVE_WAITING
+      if (!is_member (wave, record) || record->wave_state != MT_WAVE_WAITING
           || record->state != MT_ASSIGN_SERVING)
         continue;
-      record->mark = MT_WAVE_SKIPPED;
+      record->wave_state = MT_WAVE_SKIPPED;
       plan->result->changed = true;
       mt_planner_report (plan,
                          "instance %s is down and was skipped by wave %s of pool %s; give the wave "
--- a/core/controller/controller.c
+++ b/core/controller/controller.c
@@ -17,7 +17,7 @@
 static void
 free_pool (void *data)
 {
-  struct mt_controller_pool *p = data;
+  struct mt_controller_update_pool *p = data;
 
   g_free (p->name);
   g_free (p);
@@ -38,7 +38,7 @@
 static void
 free_wave (void *data)
 {
-  struct mt_controller_wave *w = data;
+  struct mt_controller_update_wave *w = data;
 
   g_hash_table_unref (w->left);
   g_hash_table_unref (w->done);
@@ -70,14 +70,14 @@
   g_free (ctl);
 }
 
-static struct mt_controller_pool *
+static struct mt_controller_update_pool *
 get_pool (struct mt_controller *ctl, const char *name)
 {
-  struct mt_controller_pool *p = g_hash_table_lookup (ctl->pools, name);
+  struct mt_controller_update_pool *p = g_hash_table_lookup (ctl->pools, name);
 
   if (p != NULL)
     return p;
-  p = g_new0 (struct mt_controller_pool, 1);
+  p = g_new0 (struct mt_controller_update_pool, 1);
   p->name = g_strdup (name);
   g_hash_table_insert (ctl->pools, p->name, p);
   return p;
@@ -131,7 +131,9 @@
  * done now: the worker is then another life, and runs on. Only the list tells; its tasks must not
  * be started elsewhere on the answer alone. */
 static void
-settle_ended (struct mt_controller_machine *m, const struct mt_controller_row *row, int64_t now)
+settle_ended (struct mt_controller_machine *m,
+              const struct mt_controller_machine_info *row,
+              int64_t now)
 {
   if (m->ended_worker == NULL || m->ended_at != 0)
     return;
@@ -143,7 +145,7 @@
 
 static void
 take_machine (struct mt_controller *ctl,
-              const struct mt_controller_row *row,
+              const struct mt_controller_machine_info *row,
               int64_t asked,
               int64_t now)
 {
@@ -160,8 +162,8 @@
   if (m->home == NULL)
     m->home = m->pool;
   m->up = row->up;
-  m->room = row->room;
-  m->in_upkeep = row->in_upkeep;
+  m->room = row->resources;
+  m->in_upkeep = row->in_maintenance;
   if (g_strcmp0 (m->worker, row->worker) == 0)
     return;
   set_worker (ctl, m, g_strdup (row->worker));
@@ -183,7 +185,7 @@
 forget_in_waves (struct mt_controller *ctl, const char *id)
 {
   GHashTableIter it;
-  struct mt_controller_wave *w;
+  struct mt_controller_update_wave *w;
 
   g_hash_table_iter_init (&it, ctl->waves);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
@@ -191,11 +193,11 @@
 }
 
 void
-mt_controller_machines (struct mt_controller *ctl,
-                        const struct mt_controller_row *machines,
-                        size_t n,
-                        int64_t asked,
-                        int64_t now)
+mt_controller_update_machines (struct mt_controller *ctl,
+                               const struct mt_controller_machine_info *machines,
+                               size_t n,
+                               int64_t asked,
+                               int64_t now)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -218,7 +220,7 @@
 /* ---- pools ---- */
 
 bool
-mt_controller_pool_is_short (const struct mt_controller_pool *p)
+mt_controller_pool_is_short (const struct mt_controller_update_pool *p)
 {
   return p->load.urgent > 0;
 }
@@ -239,14 +241,14 @@
 }
 
 void
-mt_controller_pool (struct mt_controller *ctl,
-                    const char *name,
-                    const struct mt_scheduler_load *load,
-                    const struct mt_worker_view *workers,
-                    size_t n,
-                    int64_t now)
+mt_controller_update_pool (struct mt_controller *ctl,
+                           const char *name,
+                           const struct mt_scheduler_load *load,
+                           const struct mt_worker_view *workers,
+                           size_t n,
+                           int64_t now)
 {
-  struct mt_controller_pool *p = get_pool (ctl, name);
+  struct mt_controller_update_pool *p = get_pool (ctl, name);
 
   p->seen = true;
   p->told = now;
@@ -258,18 +260,18 @@
 /* ---- waves ---- */
 
 void
-mt_controller_wave (struct mt_controller *ctl,
-                    int64_t number,
-                    char **machines,
-                    char **done,
-                    unsigned cap,
-                    int64_t due)
+mt_controller_update_wave (struct mt_controller *ctl,
+                           int64_t number,
+                           char **machines,
+                           char **done,
+                           unsigned cap,
+                           int64_t due)
 {
-  struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
 
   if (w == NULL)
     {
-      w = g_new0 (struct mt_controller_wave, 1);
+      w = g_new0 (struct mt_controller_update_wave, 1);
       w->number = number;
       w->left = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       w->done = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -288,7 +290,7 @@
 }
 
 bool
-mt_controller_is_busy (const struct mt_controller *ctl)
+mt_controller_expects_changes (const struct mt_controller *ctl)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -304,7 +306,7 @@
 mt_controller_is_short (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  const struct mt_controller_pool *p;
+  const struct mt_controller_update_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
@@ -314,7 +316,7 @@
 }
 
 bool
-mt_controller_is_pressed (const struct mt_controller *ctl)
+mt_controller_needs_frequent_loads (const struct mt_controller *ctl)
 {
   GHashTableIter it;
   const struct mt_controller_machine *m;
@@ -331,7 +333,7 @@
 bool
 mt_controller_wave_done (const struct mt_controller *ctl, int64_t number)
 {
-  const struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  const struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
 
   return w != NULL && ctl->listed && g_hash_table_size (w->left) == 0;
 }
@@ -339,7 +341,7 @@
 char **
 mt_controller_wave_progress (const struct mt_controller *ctl, int64_t number)
 {
-  const struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  const struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
   GPtrArray *out = g_ptr_array_new ();
   GHashTableIter it;
   const char *id;
@@ -369,7 +371,7 @@
 }
 
 void
-mt_controller_home (struct mt_controller *ctl, const char *machine, const char *pool)
+mt_controller_set_home (struct mt_controller *ctl, const char *machine, const char *pool)
 {
   struct mt_controller_machine *m = get_machine (ctl, machine);
 
@@ -384,7 +386,7 @@
 }
 
 char **
-mt_controller_homes (struct mt_controller *ctl)
+mt_controller_unstored_homes (struct mt_controller *ctl)
 {
   GPtrArray *out = g_ptr_array_new ();
   GHashTableIter it;
@@ -440,12 +442,12 @@
             || (m->wave != NULL && !g_hash_table_contains (m->wave->left, m->id))))
       drop_plan (m);
   mt_controller_plan_waves (ctl, now);
-  if (ctl->settings.moves)
+  if (ctl->settings.allow_moves)
     mt_controller_plan_moves (ctl, now);
 }
 
 bool
-mt_controller_next (struct mt_controller *ctl, int64_t now, struct mt_controller_order *order)
+mt_controller_next_order (struct mt_controller *ctl, int64_t now, struct mt_controller_order *order)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -460,7 +462,7 @@
         continue;
       m->sent = true;
       *order = (struct mt_controller_order){
-        .kind = m->plan == MT_PLAN_UPKEEP ? MT_CONTROLLER_UPKEEP : MT_CONTROLLER_MOVE,
+        .kind = m->plan == MT_PLAN_UPKEEP ? MT_CONTROLLER_MAINTENANCE : MT_CONTROLLER_MOVE,
         .machine = m->id,
         .worker = m->worker,
         .pool = m->pool->name,
@@ -495,10 +497,10 @@
 }
 
 void
-mt_controller_answered (struct mt_controller *ctl,
-                        const char *machine,
-                        enum mt_controller_answer answer,
-                        int64_t now)
+mt_controller_handle_result (struct mt_controller *ctl,
+                             const char *machine,
+                             enum mt_controller_order_result answer,
+                             int64_t now)
 {
   struct mt_controller_machine *m = g_hash_table_lookup (ctl->machines, machine);
 
@@ -507,19 +509,19 @@
   m->sent = false;
   switch (answer)
     {
-    case MT_CONTROLLER_DONE:
+    case MT_CONTROLLER_ORDER_DONE:
       carried_out (ctl, m, now);
       return;
-    case MT_CONTROLLER_NEVER:
+    case MT_CONTROLLER_ORDER_REJECTED:
       if (m->wave != NULL)
         g_hash_table_remove (m->wave->left, m->id);
       drop_plan (m);
       return;
-    case MT_CONTROLLER_UNKNOWN:
+    case MT_CONTROLLER_ORDER_UNKNOWN:
       /* It may have been done: until the next try tells, it counts as away. */
       m->again_at = now + AGAIN_MS;
       return;
-    case MT_CONTROLLER_NOT_NOW:
+    case MT_CONTROLLER_ORDER_RETRY:
       m->again_at = now + AGAIN_MS;
       if (m->plan == MT_PLAN_MOVE)
         drop_plan (m);
@@ -528,19 +530,19 @@
 }
 
 void
-mt_controller_notes_clear (struct mt_controller_notes *notes)
+mt_controller_directives_clear (struct mt_controller_directives *notes)
 {
   g_strfreev (notes->cordon);
-  g_strfreev (notes->ended);
-  g_strfreev (notes->due);
-  *notes = (struct mt_controller_notes){ 0 };
+  g_strfreev (notes->ended_workers);
+  g_strfreev (notes->maintenance_due);
+  *notes = (struct mt_controller_directives){ 0 };
 }
 
 static bool
 is_due (const struct mt_controller *ctl, const struct mt_controller_machine *m)
 {
   GHashTableIter it;
-  const struct mt_controller_wave *w;
+  const struct mt_controller_update_wave *w;
 
   g_hash_table_iter_init (&it, ctl->waves);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
@@ -549,13 +551,13 @@
   return false;
 }
 
-struct mt_controller_notes
-mt_controller_of_pool (struct mt_controller *ctl, const char *pool, int64_t now)
+struct mt_controller_directives
+mt_controller_pool_directives (struct mt_controller *ctl, const char *pool, int64_t now)
 {
   GPtrArray *cordon = g_ptr_array_new ();
   GPtrArray *ended = g_ptr_array_new ();
   GPtrArray *due = g_ptr_array_new ();
-  const struct mt_controller_pool *p = g_hash_table_lookup (ctl->pools, pool);
+  const struct mt_controller_update_pool *p = g_hash_table_lookup (ctl->pools, pool);
   GHashTableIter it;
   struct mt_controller_machine *m;
 
@@ -576,8 +578,8 @@
   g_ptr_array_add (cordon, NULL);
   g_ptr_array_add (ended, NULL);
   g_ptr_array_add (due, NULL);
-  return (struct mt_controller_notes){ (char **) g_ptr_array_free (cordon, FALSE),
-                                       (char **) g_ptr_array_free (ended, FALSE),
-                                       (char **) g_ptr_array_free (due, FALSE),
-                                       p != NULL ? mt_controller_promised_cpu (p) : 0 };
+  return (struct mt_controller_directives){ (char **) g_ptr_array_free (cordon, FALSE),
+                                            (char **) g_ptr_array_free (ended, FALSE),
+                                            (char **) g_ptr_array_free (due, FALSE),
+                                            p != NULL ? mt_controller_promised_cpu (p) : 0 };
 }
--- a/core/controller/controller_internal.h
+++ b/core/controller/controller_internal.h
@@ -11,7 +11,7 @@
   int64_t at;
 };
 
-struct mt_controller_pool
+struct mt_controller_update_pool
 {
   char *name;
   bool standby;
@@ -47,8 +47,8 @@
   char *id;
   char *rack;
   char *worker;
-  struct mt_controller_pool *pool;
-  struct mt_controller_pool *home; /* where it belongs; NULL until it is known */
+  struct mt_controller_update_pool *pool;
+  struct mt_controller_update_pool *home; /* where it belongs; NULL until it is known */
   bool home_stored;
   bool up;
   bool listed;
@@ -61,8 +61,8 @@
   enum mt_controller_plan plan;
   int64_t planned;
   int64_t cordoned; /* since when its scheduler has it cordoned; 0 */
-  struct mt_controller_pool *to;
-  struct mt_controller_wave *wave;
+  struct mt_controller_update_pool *to;
+  struct mt_controller_update_wave *wave;
   bool sent;
   int64_t again_at;
   int64_t ordered;    /* when */
@@ -71,7 +71,7 @@
   bool in_upkeep;
 };
 
-struct mt_controller_wave
+struct mt_controller_update_wave
 {
   int64_t number;
   unsigned cap;
@@ -86,7 +86,7 @@
   GHashTable *pools;
   GHashTable *machines;
   GHashTable *by_worker; /* present life to its machine; borrows both */
-  GHashTable *waves;     /* number to struct mt_controller_wave */
+  GHashTable *waves;     /* number to struct mt_controller_update_wave */
   bool starved;          /* some pool has long lacked what keeps its jobs in time */
   bool listed;
   int64_t first_listed;
@@ -99,21 +99,21 @@
 void mt_controller_plan_waves (struct mt_controller *ctl, int64_t now);
 /* controller_shares.c */
 /* Reckons what the pool needs from what its scheduler told last. */
-void mt_controller_learn_need (struct mt_controller_pool *p, bool starved, int64_t now);
+void mt_controller_learn_need (struct mt_controller_update_pool *p, bool starved, int64_t now);
 /* Some pool has lacked for long what keeps its jobs in time. */
 bool mt_controller_find_starved (struct mt_controller *ctl, int64_t now);
 /* Sets what each pool should have of so many machines. */
 void mt_controller_deal (struct mt_controller *ctl, unsigned machines);
 /* Of the machines that it should have, in thousandths of a core. */
-int64_t mt_controller_promised_cpu (const struct mt_controller_pool *p);
+int64_t mt_controller_promised_cpu (const struct mt_controller_update_pool *p);
 /* What it keeps while nobody else wants its machines: all that belongs to it, until its first surge
  * has shown what it needs. */
-unsigned mt_controller_wanted_idle (const struct mt_controller_pool *p);
+unsigned mt_controller_wanted_idle (const struct mt_controller_update_pool *p);
 /* controller_moves.c */
 void mt_controller_plan_moves (struct mt_controller *ctl, int64_t now);
 /* A pool that lacks room for what can still be in time gives no machine away. Work that is late
  * anyway does not count: it would hold machines that others need to be in time. */
-bool mt_controller_pool_is_short (const struct mt_controller_pool *pool);
+bool mt_controller_pool_is_short (const struct mt_controller_update_pool *pool);
 /* Some pool is. */
 bool mt_controller_is_short (const struct mt_controller *ctl);
 
--- a/core/controller/controller_moves.c
+++ b/core/controller/controller_moves.c
@@ -30,7 +30,7 @@
 tally (struct mt_controller *ctl, int64_t now)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
   struct mt_controller_machine *m;
 
   g_hash_table_iter_init (&it, ctl->pools);
@@ -87,7 +87,7 @@
 
 /* The emptiest of the pool that may go; NULL for none. */
 static struct mt_controller_machine *
-emptiest (const struct mt_controller *ctl, const struct mt_controller_pool *p)
+emptiest (const struct mt_controller *ctl, const struct mt_controller_update_pool *p)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -102,8 +102,8 @@
 
 static bool
 plan_move (struct mt_controller *ctl,
-           struct mt_controller_pool *from,
-           struct mt_controller_pool *to,
+           struct mt_controller_update_pool *from,
+           struct mt_controller_update_pool *to,
            int64_t now)
 {
   struct mt_controller_machine *m = emptiest (ctl, from);
@@ -122,7 +122,7 @@
 /* A machine that is being emptied for the standby pool goes to the pool that is short instead:
  * there and back would take two moves' time. */
 static bool
-redirect_move (struct mt_controller *ctl, struct mt_controller_pool *to)
+redirect_move (struct mt_controller *ctl, struct mt_controller_update_pool *to)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -141,11 +141,11 @@
   return true;
 }
 
-static struct mt_controller_pool *
+static struct mt_controller_update_pool *
 find_standby (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
@@ -155,12 +155,12 @@
 }
 
 /* The pool with the most to spare. */
-static struct mt_controller_pool *
+static struct mt_controller_update_pool *
 richest (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
-  struct mt_controller_pool *best = NULL;
+  struct mt_controller_update_pool *p;
+  struct mt_controller_update_pool *best = NULL;
   int most = 0;
 
   g_hash_table_iter_init (&it, ctl->pools);
@@ -178,13 +178,13 @@
 
 static void
 fill_pool (struct mt_controller *ctl,
-           struct mt_controller_pool *standby,
-           struct mt_controller_pool *p,
+           struct mt_controller_update_pool *standby,
+           struct mt_controller_update_pool *p,
            int64_t now)
 {
   while (p->have < p->wanted)
     {
-      struct mt_controller_pool *from;
+      struct mt_controller_update_pool *from;
 
       if (redirect_move (ctl, p) || (standby != NULL && plan_move (ctl, standby, p, now)))
         continue;
@@ -197,8 +197,8 @@
 
 static void
 release_spare (struct mt_controller *ctl,
-               struct mt_controller_pool *standby,
-               struct mt_controller_pool *p,
+               struct mt_controller_update_pool *standby,
+               struct mt_controller_update_pool *p,
                int64_t now)
 {
   if (p->have <= mt_controller_wanted_idle (p) || mt_controller_pool_is_short (p))
@@ -219,9 +219,9 @@
 void
 mt_controller_plan_moves (struct mt_controller *ctl, int64_t now)
 {
-  struct mt_controller_pool *standby = find_standby (ctl);
+  struct mt_controller_update_pool *standby = find_standby (ctl);
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
   unsigned machines = 0;
 
   tally (ctl, now);
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -43,13 +43,13 @@
 
 /* Of one machine, on average. */
 static double
-machine_cpu (const struct mt_controller_pool *p)
+machine_cpu (const struct mt_controller_update_pool *p)
 {
   return p->sized > 0 ? (double) p->room_cpu / p->sized : UNSIZED_CPU;
 }
 
 static unsigned
-machines_for (const struct mt_controller_pool *p, double cpu)
+machines_for (const struct mt_controller_update_pool *p, double cpu)
 {
   return (unsigned) ceil (cpu / (FULL_SHARE * machine_cpu (p)));
 }
@@ -77,7 +77,7 @@
 }
 
 void
-mt_controller_learn_need (struct mt_controller_pool *p, bool starved, int64_t now)
+mt_controller_learn_need (struct mt_controller_update_pool *p, bool starved, int64_t now)
 {
   double coming = ARRIVING_SHARE * (double) p->load.arriving_cpu;
   double kept = p->learned_at != 0 ? exp2 (-(double) (now - p->learned_at) / PEAK_HALF_MS) : 0;
@@ -92,19 +92,19 @@
 }
 
 int64_t
-mt_controller_promised_cpu (const struct mt_controller_pool *p)
+mt_controller_promised_cpu (const struct mt_controller_update_pool *p)
 {
   return (int64_t) (p->wanted * machine_cpu (p));
 }
 
 static unsigned
-keep_of (const struct mt_controller_pool *p, double share)
+keep_of (const struct mt_controller_update_pool *p, double share)
 {
   return MAX ((unsigned) ceil (MAX (KEEP_SHARE * p->peak, share * p->base)), 1U);
 }
 
 unsigned
-mt_controller_wanted_idle (const struct mt_controller_pool *p)
+mt_controller_wanted_idle (const struct mt_controller_update_pool *p)
 {
   bool surged = p->peak >= SURGED_SHARE * p->base;
 
@@ -116,13 +116,13 @@
 /* Long-running tasks that may not share a worker wait for another worker, however empty those are
  * that there are: without one they stay away, or keep machines from their upkeep. */
 static unsigned
-ask_pinned (const struct mt_controller_pool *p)
+ask_pinned (const struct mt_controller_update_pool *p)
 {
   return MAX (p->load.unplaceable > 0 && p->coming == 0 ? p->have + 1 : p->pinned, 1U);
 }
 
 static unsigned
-ask_timely (const struct mt_controller_pool *p)
+ask_timely (const struct mt_controller_update_pool *p)
 {
   return p->timely.machines;
 }
@@ -130,19 +130,19 @@
 /* It keeps what it has, and takes nothing for it: a machine that idles there was at work elsewhere.
  */
 static unsigned
-ask_keep (const struct mt_controller_pool *p)
+ask_keep (const struct mt_controller_update_pool *p)
 {
   return MIN (keep_of (p, BASE_SHARE), p->have);
 }
 
 static unsigned
-ask_hasty (const struct mt_controller_pool *p)
+ask_hasty (const struct mt_controller_update_pool *p)
 {
   return p->hasty.machines;
 }
 
 static unsigned
-ask_late (const struct mt_controller_pool *p)
+ask_late (const struct mt_controller_update_pool *p)
 {
   return p->hasty.machines + machines_for (p, (double) p->load.overdue_cpu);
 }
@@ -151,8 +151,9 @@
 {
   const char *name;
   const char *description;
-  unsigned (*ask) (const struct mt_controller_pool *p); /* machines in all, this tier included */
-  bool late; /* no reason to take machines from other pools */
+  unsigned (*ask) (
+      const struct mt_controller_update_pool *p); /* machines in all, this tier included */
+  bool late;                                      /* no reason to take machines from other pools */
 } tiers[] = {
   { "pinned", "machines that can't go, or one more for what finds none", ask_pinned },
   { "keep", "what the next surge begins with", ask_keep },
@@ -162,13 +163,13 @@
 };
 
 static bool
-takes_part (const struct mt_controller_pool *p)
+takes_part (const struct mt_controller_update_pool *p)
 {
   return !p->standby && p->seen;
 }
 
 static unsigned
-asked_more (const struct tier *tier, const struct mt_controller_pool *p)
+asked_more (const struct tier *tier, const struct mt_controller_update_pool *p)
 {
   unsigned asked = tier->ask (p);
 
@@ -179,7 +180,7 @@
 mt_controller_find_starved (struct mt_controller *ctl, int64_t now)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
   bool starved = false;
 
   g_hash_table_iter_init (&it, ctl->pools);
@@ -200,7 +201,7 @@
 deal_tier (struct mt_controller *ctl, const struct tier *tier, unsigned left)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
   unsigned asked = 0;
   unsigned dealt = 0;
   double due = 0;
@@ -227,7 +228,7 @@
 mt_controller_deal (struct mt_controller *ctl, unsigned machines)
 {
   GHashTableIter it;
-  struct mt_controller_pool *p;
+  struct mt_controller_update_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
--- a/core/controller/controller_waves.c
+++ b/core/controller/controller_waves.c
@@ -41,7 +41,7 @@
 }
 
 static unsigned
-count_down (const struct mt_controller *ctl, const struct mt_controller_wave *w)
+count_down (const struct mt_controller *ctl, const struct mt_controller_update_wave *w)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -99,8 +99,8 @@
  * until the last of the wave's machines there has none. */
 static int64_t
 pool_drain_ms (const struct mt_controller *ctl,
-               const struct mt_controller_wave *w,
-               const struct mt_controller_pool *p)
+               const struct mt_controller_update_wave *w,
+               const struct mt_controller_update_pool *p)
 {
   GHashTableIter it;
   const char *id;
@@ -119,15 +119,16 @@
 
 static bool
 may_wait (const struct mt_controller *ctl,
-          const struct mt_controller_wave *w,
+          const struct mt_controller_update_wave *w,
           const struct mt_controller_machine *m,
           int64_t now)
 {
   int64_t others = (g_hash_table_size (w->left) - 1) / w->cap;
-  int64_t by_cap = others * (EMPTYING_MS + ctl->settings.upkeep_ms) + mt_controller_drain_ms (m);
+  int64_t by_cap
+      = others * (EMPTYING_MS + ctl->settings.maintenance_ms) + mt_controller_drain_ms (m);
   int64_t by_pool
       = is_pinned (m) ? EMPTYING_MS + pool_drain_ms (ctl, w, m->pool) : mt_controller_drain_ms (m);
-  int64_t need = MAX (by_cap, by_pool) + ctl->settings.upkeep_ms;
+  int64_t need = MAX (by_cap, by_pool) + ctl->settings.maintenance_ms;
 
   return (double) (w->due - now) > SLACK_FACTOR * (double) need;
 }
@@ -136,9 +137,9 @@
  * the time that it has: as many as that takes, with some to spare, and not all that its cap allows.
  */
 static unsigned
-at_a_time (const struct mt_controller *ctl, const struct mt_controller_wave *w, int64_t now)
+at_a_time (const struct mt_controller *ctl, const struct mt_controller_update_wave *w, int64_t now)
 {
-  double each = (double) (EMPTYING_MS + ctl->settings.upkeep_ms);
+  double each = (double) (EMPTYING_MS + ctl->settings.maintenance_ms);
   double left = (double) MAX (w->due - now, 1);
 
   if (!mt_controller_is_short (ctl))
@@ -150,8 +151,8 @@
  * use; more only as the time that is left asks for it. */
 static unsigned
 draining_at_a_time (const struct mt_controller *ctl,
-                    const struct mt_controller_wave *w,
-                    const struct mt_controller_pool *p,
+                    const struct mt_controller_update_wave *w,
+                    const struct mt_controller_update_pool *p,
                     int64_t now)
 {
   double left = (double) MAX (w->due - now, 1);
@@ -160,7 +161,7 @@
 }
 
 static GArray *
-find_candidates (struct mt_controller *ctl, const struct mt_controller_wave *w, int64_t now)
+find_candidates (struct mt_controller *ctl, const struct mt_controller_update_wave *w, int64_t now)
 {
   GArray *out = g_array_new (FALSE, FALSE, sizeof (struct candidate));
   GHashTableIter it;
@@ -194,7 +195,7 @@
 };
 
 static struct away
-away_of_pool (const struct mt_controller *ctl, const struct mt_controller_pool *p)
+away_of_pool (const struct mt_controller *ctl, const struct mt_controller_update_pool *p)
 {
   GHashTableIter it;
   const struct mt_controller_machine *m;
@@ -217,7 +218,7 @@
  * before it is done: begun together all would be kept from other work for the time of all. */
 static bool
 may_begin (const struct mt_controller *ctl,
-           const struct mt_controller_wave *w,
+           const struct mt_controller_update_wave *w,
            const struct candidate *c,
            int64_t now)
 {
@@ -233,7 +234,7 @@
 }
 
 static void
-plan_wave (struct mt_controller *ctl, struct mt_controller_wave *w, int64_t now)
+plan_wave (struct mt_controller *ctl, struct mt_controller_update_wave *w, int64_t now)
 {
   unsigned down = count_down (ctl, w);
   unsigned most = at_a_time (ctl, w, now);
@@ -262,7 +263,7 @@
 mt_controller_plan_waves (struct mt_controller *ctl, int64_t now)
 {
   GHashTableIter it;
-  struct mt_controller_wave *w;
+  struct mt_controller_update_wave *w;
 
   g_hash_table_iter_init (&it, ctl->waves);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
--- a/core/controller/grants.c
+++ b/core/controller/grants.c
@@ -325,7 +325,7 @@
 }
 
 struct mt_grant_message
-mt_grants_message (struct mt_grants *grants, const char *name, int64_t now)
+mt_grants_next_message (struct mt_grants *grants, const char *name, int64_t now)
 {
   struct pool *pool = find_pool (grants, name);
   struct mt_grant_message out = { .token = grants->token };
@@ -369,12 +369,12 @@
 }
 
 void
-mt_grants_answered (struct mt_grants *grants,
-                    const char *name,
-                    uint64_t number,
-                    const struct mt_account_view *views,
-                    size_t n,
-                    int64_t now)
+mt_grants_acknowledge (struct mt_grants *grants,
+                       const char *name,
+                       uint64_t number,
+                       const struct mt_account_view *views,
+                       size_t n,
+                       int64_t now)
 {
   struct pool *pool = find_pool (grants, name);
 
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -22,7 +22,8 @@
 decide_eager (struct mt_capacity_pool *pools, size_t n)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].want = pools[i].home + (pools[i].wanted > pools[i].home * pools[i].slots ? 1 : 0);
+    pools[i].desired_instances
+        = pools[i].home + (pools[i].demand_slots > pools[i].home * pools[i].slots ? 1 : 0);
 }
 
 static const struct mt_capacity_policy eager = {
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -140,8 +140,9 @@
 {
   int64_t age = CLAMP (mt_loop_wall_ms () - w->seen_wall, 0, w->asked->deadline_ms);
 
-  mt_controller_wave (lead->controller, w->number, w->asked->machines, w->done,
-                      w->asked->max_unavailable, mt_loop_now () + w->asked->deadline_ms - age);
+  mt_controller_update_wave (lead->controller, w->number, w->asked->machines, w->done,
+                             w->asked->max_unavailable,
+                             mt_loop_now () + w->asked->deadline_ms - age);
   w->known = true;
 }
 
@@ -317,23 +318,23 @@
 on_machines (void *data, const struct mt_machine *machines, size_t n)
 {
   struct mt_fleet_leader *lead = data;
-  struct mt_controller_row *rows = g_new0 (struct mt_controller_row, n + 1);
+  struct mt_controller_machine_info *rows = g_new0 (struct mt_controller_machine_info, n + 1);
 
   lead->listing = false;
   if (!lead->destroyed && machines != NULL)
     {
       for (size_t i = 0; i < n; i++)
-        rows[i] = (struct mt_controller_row){
+        rows[i] = (struct mt_controller_machine_info){
           .id = machines[i].id,
           .pool = machines[i].pool,
           .rack = machines[i].rack,
           .worker
           = machines[i].worker != NULL && machines[i].worker[0] != '\0' ? machines[i].worker : NULL,
           .up = machines[i].state == MT_MACHINE_UP,
-          .in_upkeep = machines[i].state == MT_MACHINE_MAINTENANCE,
-          .room = machines[i].resources
+          .in_maintenance = machines[i].state == MT_MACHINE_MAINTENANCE,
+          .resources = machines[i].resources
         };
-      mt_controller_machines (lead->controller, rows, n, lead->list_asked, mt_loop_now ());
+      mt_controller_update_machines (lead->controller, rows, n, lead->list_asked, mt_loop_now ());
     }
   g_free (rows);
   unref (lead);
@@ -362,10 +363,10 @@
 
   if (!mt_pool_report_unpack (bytes, &report))
     return;
-  mt_controller_pool (lead->controller, pool, &report.load, report.workers, report.n_workers,
-                      mt_loop_now ());
-  mt_grants_answered (lead->grants, pool, number, report.accounts, report.n_accounts,
-                      mt_loop_now ());
+  mt_controller_update_pool (lead->controller, pool, &report.load, report.workers, report.n_workers,
+                             mt_loop_now ());
+  mt_grants_acknowledge (lead->grants, pool, number, report.accounts, report.n_accounts,
+                         mt_loop_now ());
   mt_pool_report_clear (&report);
 }
 
@@ -388,12 +389,13 @@
 {
   struct mt_pool *local = lead->options.local (lead->options.ctx, name);
   const char *holder = mt_cluster_holder (lead->options.cluster, name);
-  struct mt_controller_notes notes = mt_controller_of_pool (lead->controller, name, mt_loop_now ());
+  struct mt_controller_directives notes
+      = mt_controller_pool_directives (lead->controller, name, mt_loop_now ());
   g_autofree char *cordon = g_strjoinv (",", notes.cordon);
-  g_autofree char *ended = g_strjoinv (",", notes.ended);
-  g_autofree char *due = g_strjoinv (",", notes.due);
-  g_autofree char *room = g_strdup_printf ("%" G_GINT64_FORMAT, notes.room_cpu);
-  struct mt_grant_message message = mt_grants_message (lead->grants, name, mt_loop_now ());
+  g_autofree char *ended = g_strjoinv (",", notes.ended_workers);
+  g_autofree char *due = g_strjoinv (",", notes.maintenance_due);
+  g_autofree char *room = g_strdup_printf ("%" G_GINT64_FORMAT, notes.planned_cpu);
+  struct mt_grant_message message = mt_grants_next_message (lead->grants, name, mt_loop_now ());
   size_t grants_len = 0;
   g_autofree char *grants = mt_grants_pack (&message, &grants_len);
   struct mt_pool_directives texts = { mt_str_from (cordon),
@@ -403,7 +405,7 @@
                                       { grants, grants_len } };
 
   g_free ((struct mt_grant *) message.grants);
-  mt_controller_notes_clear (&notes);
+  mt_controller_directives_clear (&notes);
   if (local != NULL)
     {
       size_t len = 0;
@@ -482,14 +484,14 @@
 {
   static const struct
   {
-    enum mt_controller_answer means;
+    enum mt_controller_order_result means;
     const char *text;
   } answers[] = {
-    [MT_MACHINE_DONE] = { MT_CONTROLLER_DONE, "done" },
-    [MT_MACHINE_FENCED] = { MT_CONTROLLER_NOT_NOW, "fenced" },
-    [MT_MACHINE_BUSY] = { MT_CONTROLLER_NOT_NOW, "busy" },
-    [MT_MACHINE_REFUSED] = { MT_CONTROLLER_NEVER, "refused" },
-    [MT_MACHINE_UNKNOWN] = { MT_CONTROLLER_UNKNOWN, "no answer" },
+    [MT_MACHINE_DONE] = { MT_CONTROLLER_ORDER_DONE, "done" },
+    [MT_MACHINE_FENCED] = { MT_CONTROLLER_ORDER_RETRY, "fenced" },
+    [MT_MACHINE_BUSY] = { MT_CONTROLLER_ORDER_RETRY, "busy" },
+    [MT_MACHINE_REFUSED] = { MT_CONTROLLER_ORDER_REJECTED, "refused" },
+    [MT_MACHINE_UNKNOWN] = { MT_CONTROLLER_ORDER_UNKNOWN, "no answer" },
   };
   struct order_call *call = data;
   struct mt_fleet_leader *lead = call->leader;
@@ -499,8 +501,8 @@
       if (answer != MT_MACHINE_DONE)
         mt_journal_log (lead->options.journal, "MACHINE_REFUSED", "machine=%s order=%s why=%s",
                         call->machine, call->what, answers[answer].text);
-      mt_controller_answered (lead->controller, call->machine, answers[answer].means,
-                              mt_loop_now ());
+      mt_controller_handle_result (lead->controller, call->machine, answers[answer].means,
+                                   mt_loop_now ());
       if (answer == MT_MACHINE_FENCED)
         mt_cluster_drop_leadership (lead->options.cluster, lead->options.leadership,
                                     "a higher token ordered a machine");
@@ -516,7 +518,7 @@
 {
   const struct mt_machines *machines = &lead->options.machines;
   struct order_call *call = g_new0 (struct order_call, 1);
-  bool upkeep = order->kind == MT_CONTROLLER_UPKEEP;
+  bool upkeep = order->kind == MT_CONTROLLER_MAINTENANCE;
 
   call->leader = ref (lead);
   call->machine = g_strdup (order->machine);
@@ -540,7 +542,7 @@
   struct mt_controller_order order;
 
   while (mt_cluster_lease_is_valid (lead->options.cluster)
-         && mt_controller_next (lead->controller, mt_loop_now (), &order))
+         && mt_controller_next_order (lead->controller, mt_loop_now (), &order))
     send_order (lead, &order);
 }
 
@@ -562,7 +564,7 @@
       json_t *pool;
 
       json_object_foreach (root, machine, pool) if (json_is_string (pool))
-          mt_controller_home (lead->controller, machine, json_string_value (pool));
+          mt_controller_set_home (lead->controller, machine, json_string_value (pool));
       json_decref (root);
       lead->homes_known = true;
     }
@@ -586,7 +588,7 @@
 static void
 write_homes (struct mt_fleet_leader *lead)
 {
-  char **homes = lead->homes_busy ? NULL : mt_controller_homes (lead->controller);
+  char **homes = lead->homes_busy ? NULL : mt_controller_unstored_homes (lead->controller);
   json_t *root;
   char *text;
   struct mt_kv_expect expect = { lead->leader_key, lead->options.token };
@@ -632,7 +634,7 @@
 {
   struct mt_fleet_leader *lead = ctx;
   bool open = step_waves (lead);
-  bool pressed = mt_controller_is_pressed (lead->controller);
+  bool pressed = mt_controller_needs_frequent_loads (lead->controller);
 
   mt_timer_set (lead->tick, pressed ? TICK_PRESSED_MS : TICK_MS);
   if (!lead->homes_known)
@@ -640,7 +642,7 @@
       read_homes (lead);
       return;
     }
-  list_machines (lead, open || mt_controller_is_busy (lead->controller));
+  list_machines (lead, open || mt_controller_expects_changes (lead->controller));
   for (guint i = 0; i < lead->pools->len; i++)
     ask_pool (lead, lead->pools->pdata[i]);
   decide (lead);
@@ -671,7 +673,7 @@
 {
   struct mt_fleet_leader *lead = g_rc_box_new0 (struct mt_fleet_leader);
   struct mt_controller_settings settings
-      = { .move_ms = options->move_ms, .upkeep_ms = options->upkeep_ms, .moves = true };
+      = { .move_ms = options->move_ms, .maintenance_ms = options->upkeep_ms, .allow_moves = true };
   struct mt_watcher_options watch = { .prefix = options->words->waves_prefix,
                                       .wait_ms = WAVES_WAIT_MS,
                                       .on_item = on_wave,
--- a/include/medlartrack/assign.h
+++ b/include/medlartrack/assign.h
@@ -38,7 +38,7 @@
 };
 
 /* Where an instance stands in its pool's maintenance wave. */
-enum mt_wave_mark
+enum mt_wave_state
 {
   MT_WAVE_WAITING,
   MT_WAVE_DONE,
@@ -61,11 +61,11 @@
   const char *target; /* pool it goes to after a drain for a move, or NULL */
   enum mt_assign_state state;
   enum mt_assign_goal goal;
-  enum mt_wave_mark mark;
-  unsigned leave;     /* enum mt_leave_cause bits */
-  uint64_t left_boot; /* its boot when it left; only a later boot un-leaves it */
-  uint64_t epoch;     /* version of the document that last changed pool or state */
-  int64_t since_s;    /* wall time of that change */
+  enum mt_wave_state wave_state;
+  unsigned leave_causes;   /* enum mt_leave_cause bits */
+  uint64_t boot_when_left; /* its boot when it left; only a later boot un-leaves it */
+  uint64_t epoch;          /* version of the document that last changed pool or state */
+  int64_t since_s;         /* wall time of that change */
 };
 
 struct mt_assign_wave
@@ -111,12 +111,12 @@
                       enum mt_assign_goal goal,
                       const char *target,
                       int64_t now_s);
-/* Only where mt_assign_confirmed holds, or for the pool that it drains from. */
+/* Only where mt_assign_drain_confirmed holds, or for the pool that it drains from. */
 void mt_assign_serve (struct mt_assign *next,
                       struct mt_assign_record *record,
                       const char *pool,
                       int64_t now_s);
-/* Only where mt_assign_confirmed holds. */
+/* Only where mt_assign_drain_confirmed holds. */
 void mt_assign_reboot (struct mt_assign *next, struct mt_assign_record *record, int64_t now_s);
 void mt_assign_out (struct mt_assign *next, struct mt_assign_record *record, int64_t now_s);
 /* Notes a cause to leave and drains a serving instance at once. False where nothing changed. */
@@ -138,9 +138,9 @@
 
 /* Whether no daemon can send, or has in flight, any work of the record's old pool. held_by, where
  * not NULL, gets the first daemon that stands against it. */
-bool mt_assign_confirmed (const struct mt_assign_record *record,
-                          const struct mt_assign_member *members,
-                          size_t n_members,
-                          const char **held_by);
+bool mt_assign_drain_confirmed (const struct mt_assign_record *record,
+                                const struct mt_assign_member *members,
+                                size_t n_members,
+                                const char **held_by);
 
 #endif
--- a/include/medlartrack/capacity.h
+++ b/include/medlartrack/capacity.h
@@ -16,14 +16,14 @@
 };
 
 /* What was learnt of a pool's demand, in slots. */
-struct mt_capacity_learnt
+struct mt_capacity_stats
 {
-  double mean;     /* long moving mean */
-  double recent;   /* lowest of the last stretch: demand that outlasts a surge */
-  double peak;     /* highest, decaying */
-  double surge_s;  /* mean length of its surges */
-  double period_s; /* mean time from one surge to the next */
-  unsigned surges; /* seen so far */
+  double mean;             /* long moving mean */
+  double sustained;        /* lowest of the last stretch: demand that outlasts a surge */
+  double peak;             /* highest, decaying */
+  double mean_surge_s;     /* mean length of its surges */
+  double surge_interval_s; /* mean time from one surge to the next */
+  unsigned surges;         /* seen so far */
   bool surging;
 };
 
@@ -31,15 +31,15 @@
 struct mt_capacity_pool
 {
   const struct mt_pool *row;
-  unsigned serving; /* live and serving, or on the way there */
-  unsigned home;    /* instances that the tables give it here, without those leaving */
-  unsigned least;   /* the row's minimum, and one more while a wave has to take one out */
-  unsigned slots;   /* of one instance */
-  double wanted;    /* slots, as reported now */
-  bool may_give;    /* one of its instances may drain now: budget and minimum allow it */
+  unsigned serving;     /* live and serving, or on the way there */
+  unsigned home;        /* instances that the tables give it here, without those leaving */
+  unsigned min_serving; /* the row's minimum, and one more while a wave has to take one out */
+  unsigned slots;       /* of one instance */
+  double demand_slots;  /* slots, as reported now */
+  bool can_release;     /* one of its instances may drain now: budget and minimum allow it */
   /* Set by mt_capacity_decide. */
-  struct mt_capacity_learnt learnt;
-  unsigned want; /* instances that the policy asks for */
+  struct mt_capacity_stats stats;
+  unsigned desired_instances; /* instances that the policy asks for */
 };
 
 struct mt_capacity_policy
@@ -48,8 +48,8 @@
   const char *description;
   /* Sets want of every pool, the spare included. */
   void (*decide) (struct mt_capacity_pool *pools, size_t n);
-  bool moves;   /* false: nothing ever moves for capacity */
-  bool patient; /* an instance too many is kept until keeping it cost as much as two moves */
+  bool moves;          /* false: nothing ever moves for capacity */
+  bool delays_release; /* an instance too many is kept until keeping it cost as much as two moves */
 };
 
 /* All policies, ended by one without a name; the first is the default. */
@@ -60,10 +60,10 @@
 void mt_capacity_destroy (struct mt_capacity *capacity);
 
 /* Learns the demand of one moment; call it once for each moment. */
-void mt_capacity_learn (struct mt_capacity *capacity,
-                        const struct mt_capacity_pool *pools,
-                        size_t n,
-                        int64_t now_s);
+void mt_capacity_observe (struct mt_capacity *capacity,
+                          const struct mt_capacity_pool *pools,
+                          size_t n,
+                          int64_t now_s);
 /* Picks one move. False: none is worth its cost now. */
 bool mt_capacity_decide (struct mt_capacity *capacity,
                          struct mt_capacity_pool *pools,
@@ -72,6 +72,6 @@
                          const struct mt_capacity_pool **from,
                          const struct mt_capacity_pool **to);
 /* What the policy last asked for; UINT_MAX before its first decision on the pool. */
-unsigned mt_capacity_want (const struct mt_capacity *capacity, const char *pool);
+unsigned mt_capacity_desired_instances (const struct mt_capacity *capacity, const char *pool);
 
 #endif
--- a/include/medlartrack/grants.h
+++ b/include/medlartrack/grants.h
@@ -22,13 +22,14 @@
 
 /* The next message to the pool of that name; its rows are g_freed by the caller and borrow their
  * names until the next call to mt_grants_configure. */
-struct mt_grant_message mt_grants_message (struct mt_grants *grants, const char *name, int64_t now);
+struct mt_grant_message
+mt_grants_next_message (struct mt_grants *grants, const char *name, int64_t now);
 /* The pool has acknowledged that message, and has these accounts. */
-void mt_grants_answered (struct mt_grants *grants,
-                         const char *name,
-                         uint64_t number,
-                         const struct mt_account_view *views,
-                         size_t n,
-                         int64_t now);
+void mt_grants_acknowledge (struct mt_grants *grants,
+                            const char *name,
+                            uint64_t number,
+                            const struct mt_account_view *views,
+                            size_t n,
+                            int64_t now);
 
 #endif
--- a/measure/sim.c
+++ b/measure/sim.c
@@ -305,7 +305,7 @@
         sim->held_up_s[s]++;
     }
   for (size_t i = 0; i < assign->n_records; i++)
-    ended &= assign->records[i].mark != MT_WAVE_WAITING;
+    ended &= assign->records[i].wave_state != MT_WAVE_WAITING;
   if (ended)
     sim->wave_s = now_s (sim) - WAVE_AT_S;
 }
@@ -476,7 +476,7 @@
 measure_buffer (struct sim *sim)
 {
   const char *spare = pool_names[FLEET_SERVICES - 1];
-  unsigned held = mt_capacity_want (sim->capacity, spare);
+  unsigned held = mt_capacity_desired_instances (sim->capacity, spare);
   double step_s = (double) STEP_US / MT_SECOND;
 
   for (size_t i = 0; i < sim->stored->n_records; i++)
--- a/tests/control/test_assign_properties.cpp
+++ b/tests/control/test_assign_properties.cpp
@@ -51,7 +51,7 @@
 wave_has_ended (const World &world)
 {
   for (size_t i = 0; i < world.stored->n_records; i++)
-    if (world.stored->records[i].mark == MT_WAVE_WAITING
+    if (world.stored->records[i].wave_state == MT_WAVE_WAITING
         || world.stored->records[i].state != MT_ASSIGN_SERVING)
       return false;
   return true;
--- a/tests/control/test_capacity.c
+++ b/tests/control/test_capacity.c
@@ -38,8 +38,8 @@
   for (int64_t end = scene->now_s + seconds; scene->now_s < end;)
     {
       struct mt_capacity_pool pools[] = {
-        { .row = &scene->busy, .serving = scene->serving, .home = 4, .wanted = wanted },
-        { .row = &scene->spare, .serving = 8 - scene->serving, .home = 4, .wanted = 0 },
+        { .row = &scene->busy, .serving = scene->serving, .home = 4, .demand_slots = wanted },
+        { .row = &scene->spare, .serving = 8 - scene->serving, .home = 4, .demand_slots = 0 },
       };
       const struct mt_capacity_pool *from;
       const struct mt_capacity_pool *to;
@@ -47,11 +47,11 @@
       for (int i = 0; i < 2; i++)
         {
           pools[i].slots = SLOTS;
-          pools[i].least = 1;
-          pools[i].may_give = pools[i].serving > 1;
+          pools[i].min_serving = 1;
+          pools[i].can_release = pools[i].serving > 1;
         }
       scene->now_s++;
-      mt_capacity_learn (scene->capacity, pools, 2, scene->now_s);
+      mt_capacity_observe (scene->capacity, pools, 2, scene->now_s);
       if (!mt_capacity_decide (scene->capacity, pools, 2, scene->now_s, &from, &to))
         continue;
       scene->moves++;
--- a/tests/control/test_planner.cpp
+++ b/tests/control/test_planner.cpp
@@ -89,7 +89,7 @@
       calm_round (world);
       world.start (0, "a1");
     }
-  assert_int_equal (record_of (world, "a1")->mark, MT_WAVE_SKIPPED);
+  assert_int_equal (record_of (world, "a1")->wave_state, MT_WAVE_SKIPPED);
   assert_true (reports_mention (world, "instance a1 did not come back"));
   world.order (frozen);
   world.revive ("a1");
@@ -110,7 +110,7 @@
   world.plan_round (world.planners[0]);
   for (int i = 0; i < 100; i++)
     {
-      if (record_of (world, "a1")->mark != MT_WAVE_SKIPPED && world.work.empty ())
+      if (record_of (world, "a1")->wave_state != MT_WAVE_SKIPPED && world.work.empty ())
         world.work.emplace ("a1", Work{ 0, "a" });
       for (const std::string &name : world.names)
         world.revive (name);
@@ -118,10 +118,10 @@
       world.now_s += 5;
       calm_round (world);
     }
-  assert_int_equal (record_of (world, "a1")->mark, MT_WAVE_SKIPPED);
+  assert_int_equal (record_of (world, "a1")->wave_state, MT_WAVE_SKIPPED);
   for (const std::string &name : world.names)
     if (name != "a1")
-      assert_int_equal (record_of (world, name.c_str ())->mark, MT_WAVE_DONE);
+      assert_int_equal (record_of (world, name.c_str ())->wave_state, MT_WAVE_DONE);
 }
 
 /* A planner dies in the middle of a wave, after its write and before its order. Another one goes on
@@ -147,7 +147,7 @@
     }
   for (const std::string &name : world.names)
     {
-      assert_int_equal (record_of (world, name.c_str ())->mark, MT_WAVE_DONE);
+      assert_int_equal (record_of (world, name.c_str ())->wave_state, MT_WAVE_DONE);
       assert_int_equal (world.truth[name].boot, 2);
     }
 }
@@ -196,7 +196,7 @@
   world.relist ();
   for (int i = 0; i < 5; i++)
     calm_round (world);
-  assert_int_equal (record_of (world, "b1")->mark, MT_WAVE_DONE);
+  assert_int_equal (record_of (world, "b1")->wave_state, MT_WAVE_DONE);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_SERVING);
   assert_int_equal (record_of (world, "b2")->state, MT_ASSIGN_SERVING);
 }
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -314,7 +314,7 @@
 
           if (pool == nullptr || !mt_str_equal (pool->service, service))
             continue;
-          if (record->state == MT_ASSIGN_OUT && (record->leave & MT_LEAVE_TABLES) != 0)
+          if (record->state == MT_ASSIGN_OUT && (record->leave_causes & MT_LEAVE_TABLES) != 0)
             continue;
           out += record->state != MT_ASSIGN_SERVING || planner.list[i].down;
         }
--- a/tests/scheduler/property_quota.cpp
+++ b/tests/scheduler/property_quota.cpp
@@ -278,7 +278,7 @@
   for (unsigned p = 0; p < pools; p++)
     {
       Message message = { p,
-                          mt_grants_message (m.grants, pool_names[p], m.now),
+                          mt_grants_next_message (m.grants, pool_names[p], m.now),
                           {},
                           m.now + m.delay[p] * (m.now / message_every_ms % 2) };
 
@@ -302,8 +302,8 @@
     return;
   n = mt_scheduler_accounts (sched, views, workspaces);
   if (message.message.token == m.token && !m.unreachable[message.pool])
-    mt_grants_answered (m.grants, pool_names[message.pool], message.message.sequence, views, n,
-                        m.now);
+    mt_grants_acknowledge (m.grants, pool_names[message.pool], message.message.sequence, views, n,
+                           m.now);
 }
 
 void
--- a/tests/scheduler/test_controller.c
+++ b/tests/scheduler/test_controller.c
@@ -16,7 +16,7 @@
 {
   struct mt_controller *controller;
   int64_t now;
-  struct mt_controller_row machines[MACHINES];
+  struct mt_controller_machine_info machines[MACHINES];
   struct mt_worker_view views[MACHINES];
   char names[MACHINES][8];
   char workers[MACHINES][8];
@@ -26,7 +26,7 @@
 static struct site *
 site_create (void)
 {
-  static const struct mt_controller_settings settings = { .move_ms = 1500, .upkeep_ms = 2000 };
+  static const struct mt_controller_settings settings = { .move_ms = 1500, .maintenance_ms = 2000 };
   struct site *site = g_new0 (struct site, 1);
 
   site->controller = mt_controller_create (&settings);
@@ -36,12 +36,13 @@
     {
       snprintf (site->names[i], sizeof site->names[i], "m%d", i);
       snprintf (site->workers[i], sizeof site->workers[i], "w%d", i);
-      site->machines[i] = (struct mt_controller_row){ .id = site->names[i],
-                                                      .pool = "pool",
-                                                      .rack = "r1",
-                                                      .worker = site->workers[i],
-                                                      .up = true,
-                                                      .room = { .cpu = 16000, .mem = 32768 } };
+      site->machines[i]
+          = (struct mt_controller_machine_info){ .id = site->names[i],
+                                                 .pool = "pool",
+                                                 .rack = "r1",
+                                                 .worker = site->workers[i],
+                                                 .up = true,
+                                                 .resources = { .cpu = 16000, .mem = 32768 } };
       site->views[i] = (struct mt_worker_view){ .id = site->workers[i],
                                                 .resources = { .cpu = 16000, .mem = 32768 } };
     }
@@ -59,16 +60,18 @@
 static void
 site_tell (struct site *site)
 {
-  struct mt_controller_notes notes;
+  struct mt_controller_directives notes;
 
   site->now += 150;
-  mt_controller_machines (site->controller, site->machines, MACHINES, site->now - 10, site->now);
-  notes = mt_controller_of_pool (site->controller, "pool", site->now);
+  mt_controller_update_machines (site->controller, site->machines, MACHINES, site->now - 10,
+                                 site->now);
+  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
   for (int i = 0; i < MACHINES; i++)
     site->views[i].cordoned
         = g_strv_contains ((const char *const *) notes.cordon, site->workers[i]);
-  mt_controller_notes_clear (&notes);
-  mt_controller_pool (site->controller, "pool", &site->load, site->views, MACHINES, site->now);
+  mt_controller_directives_clear (&notes);
+  mt_controller_update_pool (site->controller, "pool", &site->load, site->views, MACHINES,
+                             site->now);
 }
 
 static void
@@ -78,24 +81,24 @@
 
   for (int i = 0; i < MACHINES; i++)
     machines[i] = site->names[i];
-  mt_controller_wave (site->controller, 1, machines, NULL, cap, site->now + due_ms);
+  mt_controller_update_wave (site->controller, 1, machines, NULL, cap, site->now + due_ms);
 }
 
 static unsigned
-site_orders (struct site *site, enum mt_controller_answer answer)
+site_orders (struct site *site, enum mt_controller_order_result answer)
 {
   struct mt_controller_order order;
   unsigned n = 0;
 
-  while (mt_controller_next (site->controller, site->now, &order))
+  while (mt_controller_next_order (site->controller, site->now, &order))
     {
       g_autofree char *machine = g_strdup (order.machine);
       int i = machine[1] - '0';
 
       n++;
-      if (answer == MT_CONTROLLER_DONE && i < MACHINES)
+      if (answer == MT_CONTROLLER_ORDER_DONE && i < MACHINES)
         site->machines[i].up = false;
-      mt_controller_answered (site->controller, machine, answer, site->now);
+      mt_controller_handle_result (site->controller, machine, answer, site->now);
     }
   return n;
 }
@@ -124,12 +127,12 @@
   for (int i = 0; i < 10; i++)
     {
       site_tell (site);
-      assert_int_equal (site_orders (site, MT_CONTROLLER_DONE), 0);
+      assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
     }
   for (int i = 0; i < MACHINES; i++)
     site->views[i].tasks = 0;
   site_tell (site);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_DONE), 3);
+  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 3);
   site_destroy (site);
 }
 
@@ -141,13 +144,14 @@
 
   site_tell (site);
   site_wave (site, 2, 60000);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_UNKNOWN), 0); /* planned, not empty yet */
+  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN),
+                    0); /* planned, not empty yet */
   site_tell (site);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_UNKNOWN), 2);
+  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN), 2);
   for (int i = 0; i < 10; i++)
     {
       site_tell (site);
-      assert_true (site_orders (site, MT_CONTROLLER_UNKNOWN) <= 2);
+      assert_true (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN) <= 2);
       assert_int_equal (site_planned (site), 2);
     }
   assert_false (mt_controller_wave_done (site->controller, 1));
@@ -162,24 +166,24 @@
 {
   struct site *site = site_create ();
   struct mt_controller_order order;
-  struct mt_controller_notes notes;
+  struct mt_controller_directives notes;
   g_autofree char *machine = NULL;
 
   site_tell (site);
   site_wave (site, 1, 60000);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_DONE), 0);
+  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
   site_tell (site);
-  assert_true (mt_controller_next (site->controller, site->now, &order));
+  assert_true (mt_controller_next_order (site->controller, site->now, &order));
   machine = g_strdup (order.machine);
-  mt_controller_answered (site->controller, machine, MT_CONTROLLER_DONE, site->now);
-  notes = mt_controller_of_pool (site->controller, "pool", site->now);
-  assert_int_equal (g_strv_length (notes.ended), 0);
+  mt_controller_handle_result (site->controller, machine, MT_CONTROLLER_ORDER_DONE, site->now);
+  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
+  assert_int_equal (g_strv_length (notes.ended_workers), 0);
   assert_true (g_strv_length (notes.cordon) >= 1);
   site_tell (site);
-  mt_controller_notes_clear (&notes);
-  notes = mt_controller_of_pool (site->controller, "pool", site->now);
-  assert_int_equal (g_strv_length (notes.ended), 0);
-  mt_controller_notes_clear (&notes);
+  mt_controller_directives_clear (&notes);
+  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
+  assert_int_equal (g_strv_length (notes.ended_workers), 0);
+  mt_controller_directives_clear (&notes);
   site_destroy (site);
 }
 
@@ -199,14 +203,14 @@
   for (int i = 0; i < 20; i++)
     {
       site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_DONE);
+      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
     }
   assert_int_equal (ordered, 0);
   site->now += 45000;
   for (int i = 0; i < 4; i++)
     {
       site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_DONE);
+      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
     }
   assert_true (ordered > 0);
   site_destroy (site);
@@ -232,7 +236,7 @@
   for (int i = 0; i < 60; i++) /* 9 s */
     {
       site_tell (site);
-      site_orders (site, MT_CONTROLLER_DONE);
+      site_orders (site, MT_CONTROLLER_ORDER_DONE);
     }
   site_tell (site);
   assert_int_equal (site_planned (site), 1);
@@ -251,17 +255,17 @@
 
   site_tell (site);
   site_wave (site, 12, 60000);
-  mt_controller_wave (site->controller, 1, gone, NULL, 12, site->now + 60000);
+  mt_controller_update_wave (site->controller, 1, gone, NULL, 12, site->now + 60000);
   for (int i = 0; i < 60 && ordered < MACHINES; i++)
     {
       assert_false (mt_controller_wave_done (site->controller, 1));
       site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_DONE);
+      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
       for (int m = 0; m < MACHINES; m++)
         site->machines[m].up = true;
     }
   assert_int_equal (ordered, MACHINES);
-  mt_controller_wave (site->controller, 1, NULL, gone, 12, site->now + 60000);
+  mt_controller_update_wave (site->controller, 1, NULL, gone, 12, site->now + 60000);
   assert_true (mt_controller_wave_done (site->controller, 1));
   site_destroy (site);
 }
@@ -276,7 +280,7 @@
   for (int i = 0; i < 3; i++)
     {
       site->machines[i].up = false;
-      site->machines[i].in_upkeep = true;
+      site->machines[i].in_maintenance = true;
       site->machines[i].worker = NULL;
     }
   site_tell (site);
@@ -284,7 +288,7 @@
   for (int i = 0; i < 10; i++)
     {
       site_tell (site);
-      assert_int_equal (site_orders (site, MT_CONTROLLER_DONE), 0);
+      assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
     }
   site_destroy (site);
 }
@@ -298,7 +302,7 @@
 {
   struct mt_controller *controller;
   int64_t now;
-  struct mt_controller_row machines[20];
+  struct mt_controller_machine_info machines[20];
   char names[20][8];
   char workers[20][8];
   int64_t away_until[20];
@@ -324,7 +328,7 @@
 fleet_create (void)
 {
   static const struct mt_controller_settings settings
-      = { .move_ms = 1500, .upkeep_ms = 2000, .moves = true };
+      = { .move_ms = 1500, .maintenance_ms = 2000, .allow_moves = true };
   struct fleet *fleet = g_new0 (struct fleet, 1);
 
   fleet->controller = mt_controller_create (&settings);
@@ -335,12 +339,13 @@
     {
       snprintf (fleet->names[i], sizeof fleet->names[i], "m%d", i);
       snprintf (fleet->workers[i], sizeof fleet->workers[i], "w%d", i);
-      fleet->machines[i] = (struct mt_controller_row){ .id = fleet->names[i],
-                                                       .pool = pools[i / POOL_MACHINES],
-                                                       .rack = "r1",
-                                                       .worker = fleet->workers[i],
-                                                       .up = true,
-                                                       .room = { .cpu = 16000, .mem = 32768 } };
+      fleet->machines[i]
+          = (struct mt_controller_machine_info){ .id = fleet->names[i],
+                                                 .pool = pools[i / POOL_MACHINES],
+                                                 .rack = "r1",
+                                                 .worker = fleet->workers[i],
+                                                 .up = true,
+                                                 .resources = { .cpu = 16000, .mem = 32768 } };
     }
   return fleet;
 }
@@ -368,11 +373,11 @@
 {
   struct mt_worker_view views[20];
   struct mt_scheduler_load load = { 0 };
-  struct mt_controller_notes notes;
+  struct mt_controller_directives notes;
   int64_t left = fleet->demand[pool];
   size_t n = 0;
 
-  notes = mt_controller_of_pool (fleet->controller, pools[pool], fleet->now);
+  notes = mt_controller_pool_directives (fleet->controller, pools[pool], fleet->now);
   for (int i = 0; i < 20; i++)
     {
       bool cordoned = g_strv_contains ((const char *const *) notes.cordon, fleet->workers[i]);
@@ -395,18 +400,18 @@
                                             .resources = { .cpu = 16000, .mem = 32768 },
                                             .used = { .cpu = used } };
     }
-  mt_controller_notes_clear (&notes);
+  mt_controller_directives_clear (&notes);
   load.urgent = left > 0 ? 10 : 0;
   load.demand_cpu = fleet->demand[pool];
   load.overdue_cpu = fleet->late[pool];
   load.unplaceable = fleet->stranded[pool];
-  mt_controller_pool (fleet->controller, pools[pool], &load, views, n, fleet->now);
+  mt_controller_update_pool (fleet->controller, pools[pool], &load, views, n, fleet->now);
 }
 
 static void
 fleet_store_homes (struct fleet *fleet)
 {
-  char **homes = mt_controller_homes (fleet->controller);
+  char **homes = mt_controller_unstored_homes (fleet->controller);
 
   if (homes == NULL || fleet->store_down)
     {
@@ -439,26 +444,29 @@
         if (!fleet->machines[i].up && fleet->now >= fleet->away_until[i])
           {
             fleet->machines[i].up = true;
-            fleet->machines[i].in_upkeep = false;
+            fleet->machines[i].in_maintenance = false;
           }
-      mt_controller_machines (fleet->controller, fleet->machines, 20, fleet->now, fleet->now);
+      mt_controller_update_machines (fleet->controller, fleet->machines, 20, fleet->now,
+                                     fleet->now);
       fleet_tell_pool (fleet, 0);
       fleet_tell_pool (fleet, 1);
       mt_controller_plan (fleet->controller, fleet->now);
       fleet_store_homes (fleet);
-      while (mt_controller_next (fleet->controller, fleet->now, &order))
+      while (mt_controller_next_order (fleet->controller, fleet->now, &order))
         {
           int i = atoi (order.machine + 1);
           g_autofree char *machine = g_strdup (order.machine);
 
-          if (order.kind == MT_CONTROLLER_UPKEEP)
+          if (order.kind == MT_CONTROLLER_MAINTENANCE)
             fleet->upkeeps++;
           else
             fleet_move (fleet, i, order.to);
           fleet->machines[i].up = false;
-          fleet->machines[i].in_upkeep = order.kind == MT_CONTROLLER_UPKEEP;
-          fleet->away_until[i] = fleet->now + (order.kind == MT_CONTROLLER_UPKEEP ? 2000 : 1500);
-          mt_controller_answered (fleet->controller, machine, MT_CONTROLLER_DONE, fleet->now);
+          fleet->machines[i].in_maintenance = order.kind == MT_CONTROLLER_MAINTENANCE;
+          fleet->away_until[i]
+              = fleet->now + (order.kind == MT_CONTROLLER_MAINTENANCE ? 2000 : 1500);
+          mt_controller_handle_result (fleet->controller, machine, MT_CONTROLLER_ORDER_DONE,
+                                       fleet->now);
         }
     }
 }
@@ -503,7 +511,7 @@
 test_successor_knows_where_machines_belong (void **state)
 {
   static const struct mt_controller_settings settings
-      = { .move_ms = 1500, .upkeep_ms = 2000, .moves = true };
+      = { .move_ms = 1500, .maintenance_ms = 2000, .allow_moves = true };
   struct fleet *fleet = fleet_create ();
 
   fleet_run (fleet, 6000);
@@ -515,7 +523,7 @@
   for (int i = 0; i < 3; i++)
     mt_controller_set_pool (fleet->controller, pools[i], i == 2);
   for (char **at = fleet->homes; at[0] != NULL; at += 2)
-    mt_controller_home (fleet->controller, at[0], at[1]);
+    mt_controller_set_home (fleet->controller, at[0], at[1]);
   fleet->demand[0] = 8000;
   fleet_run (fleet, 9000);
   assert_true (fleet_count (fleet, 0) <= POOL_MACHINES);
@@ -589,7 +597,7 @@
 test_machines_that_empty_first_go_first (void **state)
 {
   struct fleet *fleet = fleet_create ();
-  struct mt_controller_notes notes;
+  struct mt_controller_directives notes;
 
   for (int i = 0; i < POOL_MACHINES; i++)
     {
@@ -599,11 +607,11 @@
   fleet_run (fleet, 6000);
   fleet->demand[1] = 14 * 16000;
   fleet_run (fleet, 600);
-  notes = mt_controller_of_pool (fleet->controller, "left", fleet->now);
+  notes = mt_controller_pool_directives (fleet->controller, "left", fleet->now);
   assert_in_range (g_strv_length (notes.cordon), 2, 4);
   for (char **id = notes.cordon; *id != NULL; id++)
     assert_true (atoi (*id + 1) < 4);
-  mt_controller_notes_clear (&notes);
+  mt_controller_directives_clear (&notes);
   fleet_destroy (fleet);
 }
 
@@ -668,13 +676,13 @@
   struct fleet *fleet = fleet_create ();
 
   fleet_run (fleet, 6000);
-  assert_false (mt_controller_is_pressed (fleet->controller));
+  assert_false (mt_controller_needs_frequent_loads (fleet->controller));
   fleet->demand[0] = 12 * 16000;
   fleet_run (fleet, 300);
-  assert_true (mt_controller_is_pressed (fleet->controller));
+  assert_true (mt_controller_needs_frequent_loads (fleet->controller));
   fleet->demand[0] = 8000;
   fleet_run (fleet, 12000);
-  assert_false (mt_controller_is_pressed (fleet->controller));
+  assert_false (mt_controller_needs_frequent_loads (fleet->controller));
   fleet_destroy (fleet);
 }
 
@@ -748,7 +756,7 @@
       for (int m = 0; m < MACHINES; m++)
         if (site->views[m].cordoned && i % 16 == 15)
           site->views[m].tasks = site->views[m].long_running = site->views[m].drain_rounds = 0;
-      ordered += site_orders (site, MT_CONTROLLER_DONE);
+      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
       for (int m = 0; m < MACHINES; m++)
         site->machines[m].up = true;
     }
@@ -765,7 +773,7 @@
 {
   struct fleet *fleet = fleet_create ();
   char *machines[21] = { NULL };
-  struct mt_controller_notes notes;
+  struct mt_controller_directives notes;
 
   fleet_run (fleet, 6000);
   fleet->demand[0] = 40 * 16000;
@@ -773,13 +781,13 @@
   fleet_run (fleet, 150);
   for (int i = 0; i < 20; i++)
     machines[i] = fleet->names[i];
-  mt_controller_wave (fleet->controller, 1, machines, NULL, 20, fleet->now + 80000);
+  mt_controller_update_wave (fleet->controller, 1, machines, NULL, 20, fleet->now + 80000);
   fleet_run (fleet, 900);
   assert_in_range (fleet->upkeeps, 1, 2);
   fleet->store_down = false;
-  notes = mt_controller_of_pool (fleet->controller, "right", fleet->now);
-  assert_true (g_strv_length (notes.due) >= 1);
-  mt_controller_notes_clear (&notes);
+  notes = mt_controller_pool_directives (fleet->controller, "right", fleet->now);
+  assert_true (g_strv_length (notes.maintenance_due) >= 1);
+  mt_controller_directives_clear (&notes);
   fleet_run (fleet, 80000);
   assert_true (mt_controller_wave_done (fleet->controller, 1));
   fleet_destroy (fleet);
--- a/tests/scheduler/test_grants.c
+++ b/tests/scheduler/test_grants.c
@@ -55,7 +55,7 @@
 static void
 tell (struct fixture *f, unsigned i)
 {
-  struct mt_grant_message message = mt_grants_message (f->grants, pools[i], f->now);
+  struct mt_grant_message message = mt_grants_next_message (f->grants, pools[i], f->now);
 
   if (!f->silent[i] && message.n_grants > 0)
     {
@@ -63,7 +63,7 @@
       f->views[i].has_grant = true;
     }
   if (!f->silent[i] && !f->unheard[i])
-    mt_grants_answered (f->grants, pools[i], message.sequence, &f->views[i], 1, f->now);
+    mt_grants_acknowledge (f->grants, pools[i], message.sequence, &f->views[i], 1, f->now);
   g_free ((struct mt_grant *) message.grants);
 }
 
