--- a/bench/balance_main.c
+++ b/bench/balance_main.c
@@ -221,10 +221,10 @@
       return;
     }
   world->running[minion]++;
-  request->result = MT_DISPATCH_GOOD;
+  request->result = MT_DISPATCH_SUCCESS;
   if (minion == world->scenario->sick && find_part (world->scenario, now) == 1)
     {
-      request->result = MT_DISPATCH_BAD;
+      request->result = MT_DISPATCH_SERVER_ERROR;
       service_ms = (double) ERROR_US / MT_MS;
     }
   if (minion == world->scenario->slow && find_part (world->scenario, now) == 1)
@@ -260,17 +260,17 @@
   struct world *world = request->world;
 
   request->tries++;
-  request->ticket.again = request->tries > 1;
-  switch (mt_dispatch_ask (world->daemons[request->daemon], &request->ticket, QUEUE))
+  request->ticket.is_retry = request->tries > 1;
+  switch (mt_dispatch_submit (world->daemons[request->daemon], &request->ticket, QUEUE))
     {
-    case MT_ADMIT_RUN:
+    case MT_ADMISSION_GRANTED:
       start (request);
       break;
-    case MT_ADMIT_REFUSE:
+    case MT_ADMISSION_REFUSED:
       world->counts.refused++;
       g_free (request);
       break;
-    case MT_ADMIT_WAIT:
+    case MT_ADMISSION_QUEUED:
       break;
     }
 }
@@ -321,7 +321,7 @@
   struct counts *counts = &request->world->counts;
   int64_t took = now_us (request->world) - request->born_us;
 
-  if (request->result == MT_DISPATCH_BAD)
+  if (request->result == MT_DISPATCH_SERVER_ERROR)
     counts->errors++;
   else if (took > DEADLINE_US)
     counts->late++;
@@ -347,7 +347,7 @@
       return;
     }
   g_strlcpy (request->avoid, request->ticket.minion, sizeof request->avoid);
-  mt_dispatch_done (world->daemons[request->daemon], &request->ticket, request->result);
+  mt_dispatch_complete (world->daemons[request->daemon], &request->ticket, request->result);
   if (request->result != MT_DISPATCH_REFUSED)
     {
       settle (request);
@@ -440,7 +440,7 @@
 {
   world->dead[world->scenario->dying] = true;
   world->died_us = now_us (world);
-  world->counts.lost += mt_dispatch_waiting (world->daemons[world->scenario->dying]);
+  world->counts.lost += mt_dispatch_queue_length (world->daemons[world->scenario->dying]);
 }
 
 static void
@@ -599,13 +599,13 @@
   for (unsigned i = 0; i < n * SLOTS / 2; i++)
     {
       held[i].deadline_us = INT64_MAX;
-      mt_dispatch_ask (dispatch, &held[i], 1);
+      mt_dispatch_submit (dispatch, &held[i], 1);
     }
   start_us = mt_clock_now (mt_clock_system ());
   for (unsigned i = 0; i < rounds; i++)
     {
-      mt_dispatch_ask (dispatch, &ticket, 1);
-      mt_dispatch_done (dispatch, &ticket, MT_DISPATCH_GOOD);
+      mt_dispatch_submit (dispatch, &ticket, 1);
+      mt_dispatch_complete (dispatch, &ticket, MT_DISPATCH_SUCCESS);
     }
   printf ("%-16s %6u minions %8.0f ns an ask and done\n", policy->name, n,
           (double) (mt_clock_now (mt_clock_system ()) - start_us) * 1e3 / rounds);
--- a/bench/bench_gossip.c
+++ b/bench/bench_gossip.c
@@ -24,11 +24,11 @@
 {
   size_t ask_len;
   size_t len;
-  char *ask = mt_membership_ask (fleet->nodes[from], &ask_len);
-  char *answer
-      = mt_membership_answer (fleet->nodes[to], (struct mt_str){ ask, ask_len }, &len, NULL);
+  char *ask = mt_membership_make_request (fleet->nodes[from], &ask_len);
+  char *answer = mt_membership_handle_request (fleet->nodes[to], (struct mt_str){ ask, ask_len },
+                                               &len, NULL);
 
-  mt_membership_take (fleet->nodes[from], (struct mt_str){ answer, len }, NULL, NULL);
+  mt_membership_handle_response (fleet->nodes[from], (struct mt_str){ answer, len }, NULL, NULL);
   fleet->bytes += ask_len + len;
   free (ask);
   free (answer);
@@ -61,12 +61,12 @@
   for (unsigned i = 0; i < fleet->n; i++)
     {
       set_loads (fleet->nodes[i], minions, round * 7 + i);
-      mt_membership_beat (fleet->nodes[i]);
+      mt_membership_heartbeat (fleet->nodes[i]);
     }
   for (unsigned i = 0; i < fleet->n; i++)
     {
       char *addresses[MAX_DAEMONS];
-      size_t n = mt_membership_pick (fleet->nodes[i], addresses, fleet->fan_out);
+      size_t n = mt_membership_pick_peers (fleet->nodes[i], addresses, fleet->fan_out);
 
       for (size_t k = 0; k < n; k++)
         {
--- a/bench/claims_memory.c
+++ b/bench/claims_memory.c
@@ -28,7 +28,7 @@
   struct mt_once_call call;
   int64_t wake_us;
 
-  while (mt_once_next (meter->once, &call, &wake_us))
+  while (mt_once_next_call (meter->once, &call, &wake_us))
     {
       if (call.kind == MT_ONCE_CALL_WRITE)
         {
@@ -38,23 +38,23 @@
           call.put = MT_STORE_DONE;
         }
       else
-        mt_once_perform (meter->store, &call);
-      mt_once_absorb (meter->once, &call);
+        mt_once_perform_call (meter->store, &call);
+      mt_once_handle_result (meter->once, &call);
     }
 }
 
 static void
 claim_batch (struct meter *meter, uint64_t first, unsigned n)
 {
-  g_autofree struct mt_once_ask *asks = g_new0 (struct mt_once_ask, n);
+  g_autofree struct mt_once_request *asks = g_new0 (struct mt_once_request, n);
 
   for (unsigned i = 0; i < n; i++)
     {
       asks[i].key[0] = (first + i) * 0x9e3779b97f4a7c15;
       asks[i].key[1] = first + i;
       asks[i].attempt[0] = first + i;
-      asks[i].hold_ms = 5000;
-      mt_once_ask (meter->once, &asks[i]);
+      asks[i].holder_timeout_ms = 5000;
+      mt_once_request (meter->once, &asks[i]);
     }
   run (meter);
   for (unsigned i = 0; i < n; i++)
@@ -67,12 +67,12 @@
 {
   unsigned claims = argc > 1 ? (unsigned) strtoul (argv[1], NULL, 10) : DEFAULT_CLAIMS;
   unsigned batch = argc > 2 ? (unsigned) strtoul (argv[2], NULL, 10) : DEFAULT_BATCH;
-  struct mt_pace pace = { .interval_us = 1, .burst = 1000 };
+  struct mt_token_bucket pace = { .interval_us = 1, .burst = 1000 };
   struct meter meter = { .manual = mt_clock_manual_create (1000 * MT_SECOND) };
   const struct mt_clock *paused = mt_clock_manual_clock (meter.manual);
   struct fake_store *fake = fake_store_create (paused);
   struct mt_once_options options
-      = { .clock = paused, .writer = 1, .keep_us = KEEP_US, .pace = &pace };
+      = { .clock = paused, .writer = 1, .retention_us = KEEP_US, .write_limit = &pace };
   size_t before;
   clock_t begun;
   double seconds;
@@ -86,7 +86,7 @@
   seconds = (double) (clock () - begun) / CLOCKS_PER_SEC;
   printf ("claims %u, held %u, in a batch %u: %.1f bytes written and %.1f bytes of memory a claim, "
           "%.2f us of processor a claim, %u writes\n",
-          claims, mt_once_held (meter.once), batch, (double) meter.bytes / claims,
+          claims, mt_once_claim_count (meter.once), batch, (double) meter.bytes / claims,
           (double) (mallinfo2 ().uordblks - before) / claims, seconds / claims * 1e6, meter.writes);
   mt_once_destroy (meter.once);
   fake_store_destroy (fake);
--- a/core/membership/membership.c
+++ b/core/membership/membership.c
@@ -6,7 +6,7 @@
 /* A daemon that was paused (SIGSTOP, a suspended machine) has heard nobody meanwhile, and that is
  * its own fault: no beat advances the membership's clock by more than this, so that it does not
  * wake up and drop everyone, which would make it take all slots of its data centre for itself. */
-#define LONGEST_STEP_US (2 * MT_MEMBERSHIP_BEAT_US)
+#define LONGEST_STEP_US (2 * MT_MEMBERSHIP_HEARTBEAT_US)
 
 /* All load reports that a daemon receives come to about this much, however many daemons its data
  * centre has: each publishes the less often the larger its report and the more members. */
@@ -84,7 +84,7 @@
 static void
 tell (struct mt_membership *m, enum mt_membership_event event, struct record *record)
 {
-  record->member.age_us = m->now_us - record->member.heard_us;
+  record->member.heartbeat_age_us = m->now_us - record->member.heartbeat_seen_us;
   if (m->callbacks != NULL)
     m->callbacks->changed (m->ctx, event, &record->member);
 }
@@ -103,7 +103,7 @@
   record->member.address = g_strndup (address.data, address.len);
   record->member.incarnation = incarnation;
   record->beat.key = mt_wire_key (name, incarnation);
-  record->member.heard_us = m->now_us;
+  record->member.heartbeat_seen_us = m->now_us;
   g_hash_table_insert (m->by_name, record->member.name, record);
   g_hash_table_insert (m->by_key, &record->beat.key, record);
   return record;
@@ -203,16 +203,16 @@
     return;
   record->beat = *beat;
   record->beat.load_seq = load_seq; /* of the report held here, not of the newest there is */
-  record->member.heard_us = m->now_us;
+  record->member.heartbeat_seen_us = m->now_us;
   record->member.leaving = beat->leaving;
   show_beat (record);
   if (record->suspected)
     {
       record->suspected = false;
-      tell (m, MT_MEMBER_BACK, record);
+      tell (m, MT_MEMBER_RECOVERED, record);
     }
   if (leaves)
-    tell (m, MT_MEMBER_LEAVES, record);
+    tell (m, MT_MEMBER_LEAVING, record);
 }
 
 /* An entry of a lower incarnation under a known name: an earlier life whose words are still on the
@@ -238,7 +238,7 @@
   else if (known->beat.heartbeat > tombstone->successor_heartbeat && !known->twice)
     {
       known->twice = true;
-      tell (m, MT_MEMBER_NAME_TWICE, known);
+      tell (m, MT_MEMBER_DUPLICATE_NAME, known);
     }
 }
 
@@ -261,7 +261,7 @@
     {
       tombstone->heartbeat = entry->beat.heartbeat;
       if (!m->own->twice)
-        tell (m, MT_MEMBER_NAME_TWICE, m->own);
+        tell (m, MT_MEMBER_DUPLICATE_NAME, m->own);
       m->own->twice = true;
     }
 }
@@ -313,7 +313,8 @@
       refuse_earlier_life (m, known, entry);
       return NULL;
     }
-  if (is_buried (m, entry) || (known == NULL && mt_membership_count (m) >= MT_MEMBERSHIP_MAX))
+  if (is_buried (m, entry)
+      || (known == NULL && mt_membership_count (m) >= MT_MEMBERSHIP_MAX_MEMBERS))
     return NULL;
   if (known != NULL)
     forget (m, known);
@@ -397,7 +398,7 @@
 }
 
 char *
-mt_membership_ask (struct mt_membership *m, size_t *len)
+mt_membership_make_request (struct mt_membership *m, size_t *len)
 {
   struct mt_message *message = start_message (m);
   struct mt_entry own = full_entry (m->own, false);
@@ -483,7 +484,10 @@
 }
 
 char *
-mt_membership_answer (struct mt_membership *m, struct mt_str ask, size_t *len, GError **error)
+mt_membership_handle_request (struct mt_membership *m,
+                              struct mt_str ask,
+                              size_t *len,
+                              GError **error)
 {
   struct mt_message *message = mt_wire_read (ask, error);
   char *answer;
@@ -497,7 +501,10 @@
 }
 
 bool
-mt_membership_take (struct mt_membership *m, struct mt_str answer, char **from, GError **error)
+mt_membership_handle_response (struct mt_membership *m,
+                               struct mt_str answer,
+                               char **from,
+                               GError **error)
 {
   struct mt_message *message = mt_wire_read (answer, error);
 
@@ -511,7 +518,7 @@
 }
 
 void
-mt_membership_reached (struct mt_membership *m, const char *name, bool ok)
+mt_membership_record_call (struct mt_membership *m, const char *name, bool ok)
 {
   struct record *record = g_hash_table_lookup (m->by_name, name);
 
@@ -612,7 +619,7 @@
 static void
 judge (struct mt_membership *m, struct record *record)
 {
-  int64_t silent_us = m->now_us - record->member.heard_us;
+  int64_t silent_us = m->now_us - record->member.heartbeat_seen_us;
   int64_t limit_us = record->member.leaving ? MT_MEMBERSHIP_SUSPECT_US : MT_MEMBERSHIP_REMOVE_US;
 
   if (silent_us >= MT_MEMBERSHIP_SUSPECT_US && !record->suspected)
@@ -636,7 +643,7 @@
 }
 
 void
-mt_membership_beat (struct mt_membership *m)
+mt_membership_heartbeat (struct mt_membership *m)
 {
   int64_t now = mt_clock_now (m->clock);
   g_autoptr (GList) records = g_hash_table_get_values (m->by_name);
@@ -644,7 +651,7 @@
   m->now_us += CLAMP (now - m->last_beat_us, 0, LONGEST_STEP_US);
   m->last_beat_us = now;
   m->own->beat.heartbeat++;
-  m->own->member.heard_us = m->now_us;
+  m->own->member.heartbeat_seen_us = m->now_us;
   show_beat (m->own);
   outlive_rival (m);
   publish_loads (m);
@@ -700,7 +707,7 @@
 }
 
 size_t
-mt_membership_pick (struct mt_membership *m, char **out, size_t count)
+mt_membership_pick_peers (struct mt_membership *m, char **out, size_t count)
 {
   const char *outsider = m->picks++ % OUTSIDER_EVERY == 0 ? pick_buried (m) : NULL;
   size_t others = mt_membership_count (m) - 1;
@@ -724,7 +731,7 @@
 static const struct mt_member *
 show (struct mt_membership *m, struct record *record)
 {
-  record->member.age_us = m->now_us - record->member.heard_us;
+  record->member.heartbeat_age_us = m->now_us - record->member.heartbeat_seen_us;
   return &record->member;
 }
 
@@ -737,7 +744,7 @@
 }
 
 const struct mt_member *
-mt_membership_own (struct mt_membership *m)
+mt_membership_self (struct mt_membership *m)
 {
   return show (m, m->own);
 }
@@ -745,7 +752,7 @@
 bool
 mt_membership_is_alive (const struct mt_member *member)
 {
-  return member->age_us < MT_MEMBERSHIP_SUSPECT_US;
+  return member->heartbeat_age_us < MT_MEMBERSHIP_SUSPECT_US;
 }
 
 static int
--- a/core/membership/wire.c
+++ b/core/membership/wire.c
@@ -300,7 +300,7 @@
   size_t n;
 
   if (fields == NULL || !get_name (&fields[0], &out->name) || !get_name (&fields[1], &out->zone)
-      || !get_records (&fields[2], BEAT_FIELDS, MT_MEMBERSHIP_MAX, &n))
+      || !get_records (&fields[2], BEAT_FIELDS, MT_MEMBERSHIP_MAX_MEMBERS, &n))
     return false;
   for (size_t i = 0; i < n; i++)
     {
@@ -310,7 +310,7 @@
         return false;
       g_array_append_val (out->beats, beat);
     }
-  if (!get_records (&fields[3], 1, MT_MEMBERSHIP_MAX, &n))
+  if (!get_records (&fields[3], 1, MT_MEMBERSHIP_MAX_MEMBERS, &n))
     return false;
   for (size_t i = 0; i < n; i++)
     {
@@ -330,11 +330,11 @@
   msgpack_unpacked unpacked;
   bool ok;
 
-  if (bytes.len > MT_MEMBERSHIP_MAX_BODY)
+  if (bytes.len > MT_MEMBERSHIP_MAX_MESSAGE_BYTES)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
                    "heartbeat of %zu bytes, the limit is %d; check the sender", bytes.len,
-                   MT_MEMBERSHIP_MAX_BODY);
+                   MT_MEMBERSHIP_MAX_MESSAGE_BYTES);
       return NULL;
     }
   if (!mt_pack_read (bytes, &unpacked, error))
--- a/core/once/dated.c
+++ b/core/once/dated.c
@@ -38,5 +38,5 @@
 bool
 mt_once_date_expired (int64_t date_us, int64_t wall_us, int64_t keep_us)
 {
-  return wall_us >= date_us + keep_us || date_us > wall_us + MT_ONCE_SKEW_US;
+  return wall_us >= date_us + keep_us || date_us > wall_us + MT_ONCE_MAX_CLOCK_SKEW_US;
 }
--- a/core/once/once.c
+++ b/core/once/once.c
@@ -4,10 +4,10 @@
 
 #define RETRY_US     (100 * MT_MS)
 #define END_DELAY_US (500 * MT_MS) /* an end waits so long for a claim's batch to ride in */
-#define REFRESH_US   (MT_ONCE_FRESH_US / 2) /* leaves the other half for the write */
+#define REFRESH_US   (MT_ONCE_MAX_VIEW_AGE_US / 2) /* leaves the other half for the write */
 
 void
-mt_once_settle (struct mt_once *once, struct mt_once_ask *ask, enum mt_once_result result)
+mt_once_settle (struct mt_once *once, struct mt_once_request *ask, enum mt_once_result result)
 {
   ask->result = result;
   if (once->options.settled != NULL)
@@ -31,7 +31,7 @@
 mt_once_start_call (struct mt_once *once, struct mt_once_call *call, enum mt_once_call_kind kind)
 {
   *call = (struct mt_once_call){ .kind = kind };
-  call->begun_us = mt_clock_now (once->options.clock);
+  call->started_us = mt_clock_now (once->options.clock);
   switch (kind)
     {
     case MT_ONCE_CALL_LIST:
@@ -44,11 +44,11 @@
       call->data = mt_batch_encode (&once->flight.batch, &call->len);
       name_seq (once, once->flight.seq, call->key);
       break;
-    case MT_ONCE_CALL_CHECK:
+    case MT_ONCE_CALL_READ_BATCH:
       name_seq (once, once->flight.seq, call->key);
       break;
-    case MT_ONCE_CALL_FLOOR:
-    case MT_ONCE_CALL_RAISE:
+    case MT_ONCE_CALL_READ_FLOOR:
+    case MT_ONCE_CALL_RAISE_FLOOR:
       g_snprintf (call->key, sizeof call->key, "%s%s", once->prefix, MT_ONCE_FLOOR_NAME);
       break;
     case MT_ONCE_CALL_TRIM:
@@ -64,9 +64,9 @@
 {
   int64_t now = mt_clock_now (once->options.clock);
 
-  if (mt_pace_take (once->options.pace, now))
+  if (mt_token_bucket_take (once->options.write_limit, now))
     return true;
-  *wake_us = MIN (*wake_us, mt_pace_when (once->options.pace, now));
+  *wake_us = MIN (*wake_us, mt_token_bucket_next_token_us (once->options.write_limit, now));
   return false;
 }
 
@@ -74,7 +74,7 @@
 next_of_flight (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
 {
   if (once->flight.check)
-    return mt_once_start_call (once, call, MT_ONCE_CALL_CHECK);
+    return mt_once_start_call (once, call, MT_ONCE_CALL_READ_BATCH);
   return mt_once_take_token (once, wake_us) && mt_once_start_call (once, call, MT_ONCE_CALL_WRITE);
 }
 
@@ -108,7 +108,7 @@
 }
 
 bool
-mt_once_next (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
+mt_once_next_call (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
 {
   *wake_us = INT64_MAX;
   if (once->retry_us > mt_clock_now (once->options.clock))
@@ -124,7 +124,7 @@
   if (!once->loaded)
     return mt_once_start_call (once, call, MT_ONCE_CALL_LIST);
   if (once->probed_us != 0)
-    return mt_once_start_call (once, call, MT_ONCE_CALL_FLOOR);
+    return mt_once_start_call (once, call, MT_ONCE_CALL_READ_FLOOR);
   if (!mt_once_is_fresh (once, once->fresh_us, REFRESH_US))
     return mt_once_start_call (once, call, MT_ONCE_CALL_PROBE);
   if (next_write (once, call, wake_us))
@@ -135,7 +135,7 @@
 }
 
 void
-mt_once_perform (const struct mt_store *store, struct mt_once_call *call)
+mt_once_perform_call (const struct mt_store *store, struct mt_once_call *call)
 {
   struct mt_str data = { call->data, call->len };
 
@@ -145,12 +145,12 @@
       call->ok = store->ops->list (store->ctx, call->key, &call->list, NULL);
       break;
     case MT_ONCE_CALL_PROBE:
-    case MT_ONCE_CALL_FLOOR:
-    case MT_ONCE_CALL_CHECK:
+    case MT_ONCE_CALL_READ_FLOOR:
+    case MT_ONCE_CALL_READ_BATCH:
       call->ok = store->ops->get (store->ctx, call->key, &call->value, NULL);
       break;
     case MT_ONCE_CALL_WRITE:
-    case MT_ONCE_CALL_RAISE:
+    case MT_ONCE_CALL_RAISE_FLOOR:
       call->put = store->ops->put (store->ctx, call->key, data, call->index, NULL);
       break;
     case MT_ONCE_CALL_TRIM:
@@ -160,7 +160,7 @@
 }
 
 void
-mt_once_absorb (struct mt_once *once, struct mt_once_call *call)
+mt_once_handle_result (struct mt_once *once, struct mt_once_call *call)
 {
   switch (call->kind)
     {
@@ -170,16 +170,16 @@
     case MT_ONCE_CALL_PROBE:
       mt_once_absorb_probe (once, call);
       break;
-    case MT_ONCE_CALL_FLOOR:
+    case MT_ONCE_CALL_READ_FLOOR:
       mt_once_absorb_floor (once, call);
       break;
     case MT_ONCE_CALL_WRITE:
       mt_once_absorb_write (once, call);
       break;
-    case MT_ONCE_CALL_CHECK:
+    case MT_ONCE_CALL_READ_BATCH:
       mt_once_absorb_check (once, call);
       break;
-    case MT_ONCE_CALL_RAISE:
+    case MT_ONCE_CALL_RAISE_FLOOR:
       mt_once_absorb_raise (once, call);
       break;
     case MT_ONCE_CALL_TRIM:
@@ -192,16 +192,16 @@
 }
 
 void
-mt_once_ask (struct mt_once *once, struct mt_once_ask *ask)
+mt_once_request (struct mt_once *once, struct mt_once_request *ask)
 {
   ask->result = MT_ONCE_PENDING;
   ask->status = 0;
-  ask->asked_us = mt_clock_now (once->options.clock);
+  ask->requested_us = mt_clock_now (once->options.clock);
   g_queue_push_tail (&once->asks, ask);
 }
 
 void
-mt_once_cancel (struct mt_once *once, struct mt_once_ask *ask)
+mt_once_cancel (struct mt_once *once, struct mt_once_request *ask)
 {
   guint i;
 
@@ -217,7 +217,7 @@
 void
 mt_once_refuse_all (struct mt_once *once)
 {
-  struct mt_once_ask *ask;
+  struct mt_once_request *ask;
 
   while ((ask = g_queue_pop_head (&once->asks)) != NULL)
     mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
@@ -246,11 +246,11 @@
 
   memcpy (record.key, key, sizeof record.key);
   memcpy (record.attempt, attempt, sizeof record.attempt);
-  mt_once_record (once, &record);
+  mt_once_add_end (once, &record);
 }
 
 void
-mt_once_record (struct mt_once *once, const struct mt_record *end)
+mt_once_add_end (struct mt_once *once, const struct mt_record *end)
 {
   if (once->ends->len == 0)
     once->ends_us = mt_clock_now (once->options.clock);
@@ -258,13 +258,13 @@
 }
 
 void
-mt_once_set_room (struct mt_once *once, unsigned room)
+mt_once_set_free_capacity (struct mt_once *once, unsigned room)
 {
   once->room = room;
 }
 
 unsigned
-mt_once_held (const struct mt_once *once)
+mt_once_claim_count (const struct mt_once *once)
 {
   return mt_held_count (once->held);
 }
@@ -276,7 +276,7 @@
 }
 
 const char *
-mt_once_fault (const struct mt_once *once)
+mt_once_read_error (const struct mt_once *once)
 {
   return once->fault;
 }
--- a/core/once/once_flight.c
+++ b/core/once/once_flight.c
@@ -5,7 +5,7 @@
 #define ANSWER_FRESH_US (1 * MT_SECOND) /* bounds the reads that repeated requests cause */
 
 static void
-settle_taken (struct mt_once *once, struct mt_once_ask *ask, const struct mt_held_claim *claim)
+settle_taken (struct mt_once *once, struct mt_once_request *ask, const struct mt_held_claim *claim)
 {
   ask->status = claim->status;
   if (claim->state == MT_HELD_DONE)
@@ -24,7 +24,7 @@
 
   end.kind = MT_RECORD_RELEASE;
   end.extra = 0;
-  mt_once_record (once, &end);
+  mt_once_add_end (once, &end);
 }
 
 void
@@ -75,7 +75,7 @@
 
   for (guint i = 0; i < flight->asks->len; i++)
     {
-      struct mt_once_ask *ask = flight->asks->pdata[i];
+      struct mt_once_request *ask = flight->asks->pdata[i];
 
       if (ask != NULL)
         mt_once_settle (once, ask, MT_ONCE_GRANTED);
@@ -96,7 +96,7 @@
   return_ends (once);
   for (guint i = 0; i < flight->asks->len; i++)
     {
-      struct mt_once_ask *ask = flight->asks->pdata[i];
+      struct mt_once_request *ask = flight->asks->pdata[i];
 
       if (ask != NULL)
         mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
@@ -110,7 +110,7 @@
 {
   struct flight *flight = &once->flight;
 
-  if (mt_once_is_fresh (once, flight->fresh_us, MT_ONCE_FRESH_US))
+  if (mt_once_is_fresh (once, flight->fresh_us, MT_ONCE_MAX_VIEW_AGE_US))
     {
       mt_once_apply (once, &flight->batch, flight->seq);
       /* Nobody creates a number without having seen the one before: when the first write began, the
@@ -142,20 +142,21 @@
 /* Whether the view tells how things stood after the ask, or nearly: "running" and "lost" are not
  * told from an old view, since the holder may have released the key long ago. */
 static bool
-is_answerable (const struct mt_once *once, const struct mt_once_ask *ask)
+is_answerable (const struct mt_once *once, const struct mt_once_request *ask)
 {
-  return once->fresh_us >= ask->asked_us
+  return once->fresh_us >= ask->requested_us
          || mt_once_is_fresh (once, once->fresh_us, ANSWER_FRESH_US);
 }
 
 static enum verdict
-judge (struct mt_once *once, GHashTable *overlay, const struct mt_once_ask *ask)
+judge (struct mt_once *once, GHashTable *overlay, const struct mt_once_request *ask)
 {
   const struct mt_held_claim *claim = mt_held_find (once->held, ask->key);
   const struct mt_record *record = find_in_batch (overlay, ask->key);
 
   if (mt_held_is_released (once->held, ask->attempt)
-      || (ask->until_us != 0 && ask->until_us < mt_clock_now (once->options.clock)))
+      || (ask->claim_deadline_us != 0
+          && ask->claim_deadline_us < mt_clock_now (once->options.clock)))
     return VERDICT_LATE;
   if (record != NULL && record->kind == MT_RECORD_CLAIM)
     return VERDICT_WAIT;
@@ -183,14 +184,14 @@
 }
 
 static struct mt_record *
-make_claim (const struct mt_once_ask *ask)
+make_claim (const struct mt_once_request *ask)
 {
   struct mt_record *record = g_new0 (struct mt_record, 1);
 
   memcpy (record->key, ask->key, sizeof record->key);
   memcpy (record->attempt, ask->attempt, sizeof record->attempt);
   record->kind = MT_RECORD_CLAIM;
-  record->extra = ask->hold_ms;
+  record->extra = ask->holder_timeout_ms;
   return record;
 }
 
@@ -205,7 +206,7 @@
   while (at != NULL && flight->batch.records->len < MT_BATCH_MAX_RECORDS)
     {
       GList *link = at;
-      struct mt_once_ask *ask = link->data;
+      struct mt_once_request *ask = link->data;
       enum verdict verdict = judge (once, overlay, ask);
       struct mt_record *record;
 
--- a/core/once/once_internal.h
+++ b/core/once/once_internal.h
@@ -39,7 +39,7 @@
   char prefix[MT_ONCE_KEY_BYTES];
   unsigned room;       /* for claims in memory */
   uint64_t next_batch; /* of the writer's own ids */
-  GQueue asks;         /* of struct mt_once_ask, not in the flight */
+  GQueue asks;         /* of struct mt_once_request, not in the flight */
   GArray *ends;        /* of struct mt_record, not in the flight */
   int64_t ends_us;     /* since when ends wait */
   int64_t retry_us;    /* no call before */
@@ -62,7 +62,7 @@
 };
 
 /* once.c */
-void mt_once_settle (struct mt_once *once, struct mt_once_ask *ask, enum mt_once_result result);
+void mt_once_settle (struct mt_once *once, struct mt_once_request *ask, enum mt_once_result result);
 void mt_once_retry_later (struct mt_once *once);
 /* Always true, for callers that return it. */
 bool
--- a/core/once/once_trim.c
+++ b/core/once/once_trim.c
@@ -1,7 +1,7 @@
 #include "once_internal.h"
 
 #define TRIM_EVERY_US  (60 * MT_SECOND)
-#define KEEP_MARGIN_US (4 * MT_ONCE_SKEW_US) /* see mt_once_date_expired */
+#define KEEP_MARGIN_US (4 * MT_ONCE_MAX_CLOCK_SKEW_US) /* see mt_once_date_expired */
 
 /* The floor up to which all batches are past keeping, by their writers' clocks, and were seen by
  * this process for so long that no writer whose view lacks them can still be granted anything,
@@ -17,8 +17,8 @@
     {
       const struct landed *landed = at->data;
 
-      if (landed->wall_us + once->options.keep_us + KEEP_MARGIN_US > wall
-          || landed->seen_us + 2 * MT_ONCE_FRESH_US > now)
+      if (landed->wall_us + once->options.retention_us + KEEP_MARGIN_US > wall
+          || landed->seen_us + 2 * MT_ONCE_MAX_VIEW_AGE_US > now)
         break;
       floor = landed->seq + 1;
     }
@@ -42,10 +42,10 @@
       return false;
     }
   if (!once->floor_read)
-    return mt_once_start_call (once, call, MT_ONCE_CALL_FLOOR);
+    return mt_once_start_call (once, call, MT_ONCE_CALL_READ_FLOOR);
   if (!mt_once_take_token (once, wake_us))
     return false;
-  mt_once_start_call (once, call, MT_ONCE_CALL_RAISE);
+  mt_once_start_call (once, call, MT_ONCE_CALL_RAISE_FLOOR);
   call->data = g_strdup_printf ("%0*" G_GUINT64_FORMAT, MT_ONCE_SEQ_DIGITS, floor);
   call->len = MT_ONCE_SEQ_DIGITS;
   call->index = once->floor_index;
--- a/core/once/once_view.c
+++ b/core/once/once_view.c
@@ -96,7 +96,7 @@
   else if (call->value.found)
     mt_once_learn (once, &call->value, once->next_seq);
   else
-    once->probed_us = call->begun_us;
+    once->probed_us = call->started_us;
 }
 
 /* That the next number is absent proves little: it may have been written and trimmed. The floor,
@@ -200,6 +200,6 @@
   if (!learn_list (once, call->list, floor, known))
     return;
   once->loaded = true;
-  once->fresh_us = call->begun_us;
+  once->fresh_us = call->started_us;
   g_clear_pointer (&once->fault, g_free);
 }
--- a/core/path/balance.c
+++ b/core/path/balance.c
@@ -9,16 +9,16 @@
 static uint64_t
 draw (struct mt_balance_state *state)
 {
-  state->random ^= state->random << 13;
-  state->random ^= state->random >> 7;
-  state->random ^= state->random << 17;
-  return state->random;
+  state->random_state ^= state->random_state << 13;
+  state->random_state ^= state->random_state >> 7;
+  state->random_state ^= state->random_state << 17;
+  return state->random_state;
 }
 
 static bool
 is_free (const struct mt_balance_load *loads, size_t i, size_t avoid)
 {
-  return i != avoid && loads[i].in_flight < loads[i].usable;
+  return i != avoid && loads[i].in_flight < loads[i].usable_slots;
 }
 
 /* Not what the others have in flight: it is as old as their last heartbeat, many requests ago, and
--- a/core/path/dispatch.c
+++ b/core/path/dispatch.c
@@ -69,7 +69,7 @@
 static unsigned
 count_free (const struct mt_balance_load *load)
 {
-  return load->usable > load->in_flight ? load->usable - load->in_flight : 0;
+  return load->usable_slots > load->in_flight ? load->usable_slots - load->in_flight : 0;
 }
 
 static void
@@ -89,15 +89,15 @@
   wake_at (dispatch, minion->closed_until_us, now_us);
   wake_at (dispatch, minion->borrow_from_us, now_us);
   if (health == MT_HEALTH_EJECTED)
-    wake_at (dispatch, minion->health.probe_us, now_us);
+    wake_at (dispatch, minion->health.probe_from_us, now_us);
   if (health == MT_HEALTH_EJECTED || minion->closed_until_us > now_us)
     return 0;
-  if (health == MT_HEALTH_PROBED)
+  if (health == MT_HEALTH_PROBING)
     return 1;
   if (minion->borrow_from_us > now_us)
     return mt_share_own (dispatch->share, minion->slots, minion->key);
   return mt_share_with_borrowed (dispatch->share, minion->slots, minion->key,
-                                 load_of (dispatch, minion)->others);
+                                 load_of (dispatch, minion)->others_in_flight);
 }
 
 /* Recent failures count as load, so that an idle look attracts nothing before the ejection decides.
@@ -106,12 +106,12 @@
 static unsigned
 work_out_penalty (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
 {
-  int64_t until_us = minion->health.failed_us + PENALTY_US;
+  int64_t until_us = minion->health.last_failure_us + PENALTY_US;
 
-  if (minion->health.failing == 0 || minion->health.ejected || until_us <= now_us)
+  if (minion->health.failure_rate == 0 || minion->health.ejected || until_us <= now_us)
     return 0;
   wake_at (dispatch, until_us, now_us);
-  return minion->health.failing * minion->slots / MT_HEALTH_FULL;
+  return minion->health.failure_rate * minion->slots / MT_HEALTH_MAX_FAILURE_RATE;
 }
 
 static void
@@ -120,10 +120,10 @@
   struct mt_balance_load *load = load_of (dispatch, minion);
 
   dispatch->n_free -= count_free (load);
-  dispatch->n_usable -= load->usable;
-  load->usable = work_out_usable (dispatch, minion, now_us);
+  dispatch->n_usable -= load->usable_slots;
+  load->usable_slots = work_out_usable (dispatch, minion, now_us);
   load->penalty = work_out_penalty (dispatch, minion, now_us);
-  dispatch->n_usable += load->usable;
+  dispatch->n_usable += load->usable_slots;
   dispatch->n_free += count_free (load);
 }
 
@@ -200,8 +200,8 @@
 
   if (now_us >= dispatch->wake_us)
     refresh_all (dispatch, now_us);
-  while ((item = mt_fair_queue_late (dispatch->queue, now_us)) != NULL)
-    give_up (dispatch, item->owner, MT_REFUSAL_TOO_LATE);
+  while ((item = mt_fair_queue_pop_expired (dispatch->queue, now_us)) != NULL)
+    give_up (dispatch, item->owner, MT_REFUSAL_DEADLINE);
   while (!has_hope (dispatch, INT64_MAX) && (item = mt_fair_queue_pop (dispatch->queue)) != NULL)
     give_up (dispatch, item->owner, MT_REFUSAL_NO_MINION);
   while (dispatch->n_free > 0 && (item = mt_fair_queue_pop (dispatch->queue)) != NULL)
@@ -226,7 +226,7 @@
   dispatch->clock = clock;
   dispatch->callbacks = callbacks;
   dispatch->policy = policy != NULL ? policy : mt_balance_policies[0];
-  dispatch->state.random = seed | 1;
+  dispatch->state.random_state = seed | 1;
   dispatch->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_minion);
   dispatch->minions = g_ptr_array_new ();
   dispatch->loads = g_array_new (FALSE, TRUE, sizeof (struct mt_balance_load));
@@ -291,7 +291,7 @@
   struct minion *last = g_ptr_array_index (dispatch->minions, dispatch->minions->len - 1);
 
   dispatch->n_free -= count_free (load_of (dispatch, minion));
-  dispatch->n_usable -= load_of (dispatch, minion)->usable;
+  dispatch->n_usable -= load_of (dispatch, minion)->usable_slots;
   g_ptr_array_remove_index_fast (dispatch->minions, (guint) minion->index);
   g_array_remove_index_fast (dispatch->loads, (guint) minion->index);
   last->index = minion->index;
@@ -340,9 +340,9 @@
       if (!minion->present)
         continue;
       if (minion->health.ejected && (dispatch->ejected + 1) * 2 > dispatch->n_present)
-        mt_health_return (&minion->health);
+        mt_health_reinstate (&minion->health);
       dispatch->ejected += minion->health.ejected ? 1 : 0;
-      dispatch->failing_sum += minion->health.failing;
+      dispatch->failing_sum += minion->health.failure_rate;
     }
 }
 
@@ -376,7 +376,8 @@
     {
       const struct minion *minion = g_ptr_array_index (dispatch->minions, i);
 
-      load_of (dispatch, minion)->others = others != NULL ? others (ctx, minion->name) : 0;
+      load_of (dispatch, minion)->others_in_flight
+          = others != NULL ? others (ctx, minion->name) : 0;
     }
   refresh_all (dispatch, now);
   grant_waiters (dispatch, now);
@@ -433,7 +434,7 @@
 static int64_t
 time_to_give_up (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket, int64_t now_us)
 {
-  int64_t needed = mt_service_time_needed (&dispatch->service);
+  int64_t needed = mt_service_time_upper_estimate_us (&dispatch->service);
 
   return ticket->deadline_us - MIN (needed, (ticket->deadline_us - now_us) / 2);
 }
@@ -452,44 +453,44 @@
     return MT_REFUSAL_NO_MINION;
   if (mt_fair_queue_length (dispatch->queue) >= queue_limit)
     return MT_REFUSAL_QUEUE_FULL;
-  ahead = mt_fair_queue_ahead (dispatch->queue, ticket->audience);
+  ahead = mt_fair_queue_count_ahead (dispatch->queue, ticket->audience);
   if (now_us + estimate_wait (dispatch, ahead) >= time_to_give_up (dispatch, ticket, now_us))
-    return MT_REFUSAL_TOO_LATE;
+    return MT_REFUSAL_DEADLINE;
   return MT_REFUSAL_NONE;
 }
 
 static bool
 pay_for_try (struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
 {
-  if (ticket->again)
+  if (ticket->is_retry)
     return mt_retry_budget_take (&dispatch->retries);
   mt_retry_budget_deposit (&dispatch->retries);
   return true;
 }
 
-enum mt_admit
-mt_dispatch_ask (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit)
+enum mt_dispatch_admission
+mt_dispatch_submit (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit)
 {
   int64_t now = mt_clock_now (dispatch->clock);
 
   ticket->refusal = MT_REFUSAL_NONE;
   if (now >= ticket->deadline_us)
-    ticket->refusal = MT_REFUSAL_TOO_LATE;
+    ticket->refusal = MT_REFUSAL_DEADLINE;
   else if (!pay_for_try (dispatch, ticket))
     ticket->refusal = MT_REFUSAL_RETRY_BUDGET;
   if (ticket->refusal != MT_REFUSAL_NONE)
-    return MT_ADMIT_REFUSE;
+    return MT_ADMISSION_REFUSED;
   grant_waiters (dispatch, now);
   if (try_grant (dispatch, ticket))
-    return MT_ADMIT_RUN;
+    return MT_ADMISSION_GRANTED;
   ticket->refusal = judge (dispatch, ticket, queue_limit, now);
   if (ticket->refusal != MT_REFUSAL_NONE)
-    return MT_ADMIT_REFUSE;
+    return MT_ADMISSION_REFUSED;
   ticket->item = (struct mt_fair_item){ .audience = ticket->audience,
-                                        .give_up_us = time_to_give_up (dispatch, ticket, now),
+                                        .expires_us = time_to_give_up (dispatch, ticket, now),
                                         .owner = ticket };
   mt_fair_queue_push (dispatch->queue, &ticket->item);
-  return MT_ADMIT_WAIT;
+  return MT_ADMISSION_QUEUED;
 }
 
 static void
@@ -500,16 +501,16 @@
 {
   struct mt_health *health = &minion->health;
   unsigned present = minion->present ? dispatch->n_present : 0;
-  uint64_t others = dispatch->failing_sum - (minion->present ? health->failing : 0);
+  uint64_t others = dispatch->failing_sum - (minion->present ? health->failure_rate : 0);
   unsigned mean = present > 1 ? (unsigned) (others / (present - 1)) : 0;
   bool was = health->ejected;
-  bool out = mt_health_note (health, result == MT_DISPATCH_GOOD, mean, now_us);
+  bool out = mt_health_record_answer (health, result == MT_DISPATCH_SUCCESS, mean, now_us);
 
   if (out && (was || (present > 0 && (dispatch->ejected + 1) * 2 <= present)))
     mt_health_eject (health, now_us);
   if (!minion->present)
     return;
-  dispatch->failing_sum = others + health->failing;
+  dispatch->failing_sum = others + health->failure_rate;
   dispatch->ejected += (health->ejected ? 1U : 0U) - (was ? 1U : 0U);
 }
 
@@ -521,9 +522,9 @@
 }
 
 void
-mt_dispatch_done (struct mt_dispatch *dispatch,
-                  struct mt_ticket *ticket,
-                  enum mt_dispatch_result result)
+mt_dispatch_complete (struct mt_dispatch *dispatch,
+                      struct mt_ticket *ticket,
+                      enum mt_dispatch_result result)
 {
   struct minion *minion = g_hash_table_lookup (dispatch->by_name, ticket->minion);
   int64_t now = mt_clock_now (dispatch->clock);
@@ -534,8 +535,8 @@
   else if (result != MT_DISPATCH_UNUSED)
     learn_health (dispatch, minion, result, now);
   /* Errors may be fast and refusals always are: only real work tells how long work takes. */
-  if (result == MT_DISPATCH_GOOD || result == MT_DISPATCH_LOST)
-    mt_service_time_learn (&dispatch->service, now - ticket->granted_us);
+  if (result == MT_DISPATCH_SUCCESS || result == MT_DISPATCH_LOST)
+    mt_service_time_add_sample (&dispatch->service, now - ticket->granted_us);
   refresh_minion (dispatch, minion, now);
   ticket->minion = NULL;
   ticket->address = NULL;
@@ -545,7 +546,7 @@
 void
 mt_dispatch_cancel (struct mt_dispatch *dispatch, struct mt_ticket *ticket)
 {
-  if (ticket->item.lane != NULL)
+  if (ticket->item.flow != NULL)
     mt_fair_queue_remove (dispatch->queue, &ticket->item);
 }
 
@@ -556,13 +557,13 @@
 }
 
 int64_t
-mt_dispatch_due (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
+mt_dispatch_next_tick_us (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
 {
-  return MIN (ticket->item.give_up_us, dispatch->wake_us);
+  return MIN (ticket->item.expires_us, dispatch->wake_us);
 }
 
 unsigned
-mt_dispatch_waiting (const struct mt_dispatch *dispatch)
+mt_dispatch_queue_length (const struct mt_dispatch *dispatch)
 {
   return mt_fair_queue_length (dispatch->queue);
 }
@@ -579,18 +580,18 @@
 }
 
 unsigned
-mt_dispatch_usable (const struct mt_dispatch *dispatch, const char *name)
+mt_dispatch_usable_slots (const struct mt_dispatch *dispatch, const char *name)
 {
   const struct minion *minion;
 
   if (name == NULL)
     return dispatch->n_usable;
   minion = g_hash_table_lookup (dispatch->by_name, name);
-  return minion != NULL ? load_of (dispatch, minion)->usable : 0;
+  return minion != NULL ? load_of (dispatch, minion)->usable_slots : 0;
 }
 
 unsigned
-mt_dispatch_ejected (const struct mt_dispatch *dispatch)
+mt_dispatch_ejected_count (const struct mt_dispatch *dispatch)
 {
   return dispatch->ejected;
 }
--- a/core/path/ejection.c
+++ b/core/path/ejection.c
@@ -12,9 +12,9 @@
 {
   if (!good)
     return true;
-  health->goods++;
-  if (health->goods >= PROBES)
-    mt_health_return (health);
+  health->probe_successes++;
+  if (health->probe_successes >= PROBES)
+    mt_health_reinstate (health);
   return false;
 }
 
@@ -22,41 +22,45 @@
  * work. Where all minions fail alike the cause isn't theirs, and ejecting some would only take
  * capacity away: a minion has to be twice as bad as the others. */
 bool
-mt_health_note (struct mt_health *health, bool good, unsigned others_failing, int64_t now_us)
+mt_health_record_answer (struct mt_health *health,
+                         bool good,
+                         unsigned others_failing,
+                         int64_t now_us)
 {
-  unsigned sample = good ? 0 : MT_HEALTH_FULL;
+  unsigned sample = good ? 0 : MT_HEALTH_MAX_FAILURE_RATE;
 
-  health->failing = (health->failing * (WEIGHT - 1) + sample) / WEIGHT;
-  health->streak = good ? 0 : health->streak + 1;
+  health->failure_rate = (health->failure_rate * (WEIGHT - 1) + sample) / WEIGHT;
+  health->consecutive_failures = good ? 0 : health->consecutive_failures + 1;
   if (!good)
-    health->failed_us = now_us;
+    health->last_failure_us = now_us;
   if (health->ejected)
     return note_probe (health, good);
-  if (health->streak < STREAK && health->failing < SICK)
+  if (health->consecutive_failures < STREAK && health->failure_rate < SICK)
     return false;
-  return !good && health->failing > 2 * others_failing;
+  return !good && health->failure_rate > 2 * others_failing;
 }
 
 void
 mt_health_eject (struct mt_health *health, int64_t now_us)
 {
   health->ejected = true;
-  health->goods = 0;
-  health->probe_us = now_us + (FIRST_OUT_US << health->times);
-  if (health->times < MAX_DOUBLED)
-    health->times++;
+  health->probe_successes = 0;
+  health->probe_from_us = now_us + (FIRST_OUT_US << health->backoff_exponent);
+  if (health->backoff_exponent < MAX_DOUBLED)
+    health->backoff_exponent++;
 }
 
 void
-mt_health_return (struct mt_health *health)
+mt_health_reinstate (struct mt_health *health)
 {
-  *health = (struct mt_health){ .times = health->times > 0 ? health->times - 1 : 0 };
+  *health = (struct mt_health){ .backoff_exponent
+                                = health->backoff_exponent > 0 ? health->backoff_exponent - 1 : 0 };
 }
 
 enum mt_health_state
 mt_health_state (const struct mt_health *health, int64_t now_us)
 {
   if (!health->ejected)
-    return MT_HEALTH_IN;
-  return health->probe_us > now_us ? MT_HEALTH_EJECTED : MT_HEALTH_PROBED;
+    return MT_HEALTH_HEALTHY;
+  return health->probe_from_us > now_us ? MT_HEALTH_EJECTED : MT_HEALTH_PROBING;
 }
--- a/core/path/fair_queue.c
+++ b/core/path/fair_queue.c
@@ -1,6 +1,6 @@
 #include "medlartrack/fair_queue.h"
 
-struct mt_fair_lane
+struct mt_fair_flow
 {
   uint64_t audience;
   GQueue items; /* oldest first */
@@ -9,7 +9,7 @@
 
 struct mt_fair_queue
 {
-  GHashTable *lanes;   /* audience -> struct mt_fair_lane; only those with items */
+  GHashTable *lanes;   /* audience -> struct mt_fair_flow; only those with items */
   GQueue turns;        /* of lanes, the next to serve first */
   unsigned length;     /* of all lanes */
   int64_t earliest_us; /* no item gives up before it */
@@ -35,14 +35,14 @@
   g_free (queue);
 }
 
-static struct mt_fair_lane *
+static struct mt_fair_flow *
 open_lane (struct mt_fair_queue *queue, uint64_t audience)
 {
-  struct mt_fair_lane *lane = g_hash_table_lookup (queue->lanes, &audience);
+  struct mt_fair_flow *lane = g_hash_table_lookup (queue->lanes, &audience);
 
   if (lane != NULL)
     return lane;
-  lane = g_new0 (struct mt_fair_lane, 1);
+  lane = g_new0 (struct mt_fair_flow, 1);
   lane->audience = audience;
   lane->turn.data = lane;
   g_queue_init (&lane->items);
@@ -52,7 +52,7 @@
 }
 
 static void
-close_lane_if_empty (struct mt_fair_queue *queue, struct mt_fair_lane *lane)
+close_lane_if_empty (struct mt_fair_queue *queue, struct mt_fair_flow *lane)
 {
   if (!g_queue_is_empty (&lane->items))
     return;
@@ -63,22 +63,22 @@
 void
 mt_fair_queue_push (struct mt_fair_queue *queue, struct mt_fair_item *item)
 {
-  struct mt_fair_lane *lane = open_lane (queue, item->audience);
+  struct mt_fair_flow *lane = open_lane (queue, item->audience);
 
-  item->lane = lane;
+  item->flow = lane;
   item->link = (GList){ .data = item };
   g_queue_push_tail_link (&lane->items, &item->link);
   queue->length++;
-  queue->earliest_us = MIN (queue->earliest_us, item->give_up_us);
+  queue->earliest_us = MIN (queue->earliest_us, item->expires_us);
 }
 
 void
 mt_fair_queue_remove (struct mt_fair_queue *queue, struct mt_fair_item *item)
 {
-  struct mt_fair_lane *lane = item->lane;
+  struct mt_fair_flow *lane = item->flow;
 
   g_queue_unlink (&lane->items, &item->link);
-  item->lane = NULL;
+  item->flow = NULL;
   queue->length--;
   if (queue->length == 0)
     queue->earliest_us = INT64_MAX;
@@ -88,7 +88,7 @@
 struct mt_fair_item *
 mt_fair_queue_pop (struct mt_fair_queue *queue)
 {
-  struct mt_fair_lane *lane = g_queue_peek_head (&queue->turns);
+  struct mt_fair_flow *lane = g_queue_peek_head (&queue->turns);
   struct mt_fair_item *item;
 
   if (lane == NULL)
@@ -108,15 +108,15 @@
 
 /* Each other audience gets at most one turn for each of ours. */
 unsigned
-mt_fair_queue_ahead (const struct mt_fair_queue *queue, uint64_t audience)
+mt_fair_queue_count_ahead (const struct mt_fair_queue *queue, uint64_t audience)
 {
-  const struct mt_fair_lane *own = g_hash_table_lookup (queue->lanes, &audience);
+  const struct mt_fair_flow *own = g_hash_table_lookup (queue->lanes, &audience);
   unsigned turns = own != NULL ? own->items.length + 1 : 1;
   unsigned ahead = turns - 1;
 
   for (const GList *l = queue->turns.head; l != NULL; l = l->next)
     {
-      const struct mt_fair_lane *lane = l->data;
+      const struct mt_fair_flow *lane = l->data;
 
       if (lane != own)
         ahead += MIN (lane->items.length, turns);
@@ -130,25 +130,25 @@
   queue->earliest_us = INT64_MAX;
   for (GList *l = queue->turns.head; l != NULL; l = l->next)
     {
-      struct mt_fair_lane *lane = l->data;
+      struct mt_fair_flow *lane = l->data;
 
       for (GList *i = lane->items.head; i != NULL; i = i->next)
         {
           struct mt_fair_item *item = i->data;
 
-          if (item->give_up_us <= now_us)
+          if (item->expires_us <= now_us)
             {
-              queue->earliest_us = item->give_up_us;
+              queue->earliest_us = item->expires_us;
               return item;
             }
-          queue->earliest_us = MIN (queue->earliest_us, item->give_up_us);
+          queue->earliest_us = MIN (queue->earliest_us, item->expires_us);
         }
     }
   return NULL;
 }
 
 struct mt_fair_item *
-mt_fair_queue_late (struct mt_fair_queue *queue, int64_t now_us)
+mt_fair_queue_pop_expired (struct mt_fair_queue *queue, int64_t now_us)
 {
   struct mt_fair_item *item;
 
--- a/core/path/retry_budget.c
+++ b/core/path/retry_budget.c
@@ -3,15 +3,15 @@
 void
 mt_retry_budget_init (struct mt_retry_budget *budget)
 {
-  budget->tokens = MT_RETRY_MOST;
+  budget->tokens = MT_RETRY_MAX_TOKENS;
 }
 
 void
 mt_retry_budget_deposit (struct mt_retry_budget *budget)
 {
   budget->tokens += MT_RETRY_DEPOSIT;
-  if (budget->tokens > MT_RETRY_MOST)
-    budget->tokens = MT_RETRY_MOST;
+  if (budget->tokens > MT_RETRY_MAX_TOKENS)
+    budget->tokens = MT_RETRY_MAX_TOKENS;
 }
 
 bool
--- a/core/path/service_time.c
+++ b/core/path/service_time.c
@@ -9,7 +9,7 @@
 #define SPREAD_FACTOR 2
 
 void
-mt_service_time_learn (struct mt_service_time *service, int64_t sample_us)
+mt_service_time_add_sample (struct mt_service_time *service, int64_t sample_us)
 {
   int64_t distance;
 
@@ -20,11 +20,11 @@
     }
   distance = MIN (sample_us, service->mean_us * CLAMP_FACTOR) - service->mean_us;
   service->mean_us = MAX (service->mean_us + distance / WEIGHT, 1);
-  service->spread_us += (ABS (distance) - service->spread_us) / WEIGHT;
+  service->mean_deviation_us += (ABS (distance) - service->mean_deviation_us) / WEIGHT;
 }
 
 int64_t
-mt_service_time_needed (const struct mt_service_time *service)
+mt_service_time_upper_estimate_us (const struct mt_service_time *service)
 {
-  return service->mean_us + SPREAD_FACTOR * service->spread_us;
+  return service->mean_us + SPREAD_FACTOR * service->mean_deviation_us;
 }
--- a/core/path/uplink.c
+++ b/core/path/uplink.c
@@ -11,18 +11,19 @@
 mt_uplink_make (double mbps, int64_t now)
 {
   return (struct mt_uplink){ .bytes_per_ms = PAYLOAD_SHARE * mbps * 1000 / BITS_OF_A_BYTE,
-                             .at = now };
+                             .updated_ms = now };
 }
 
 int64_t
 mt_uplink_wait_ms (struct mt_uplink *uplink, uint64_t sent, int64_t now)
 {
-  double left = uplink->bytes_per_ms * (double) (now - uplink->at);
+  double left = uplink->bytes_per_ms * (double) (now - uplink->updated_ms);
 
   if (uplink->bytes_per_ms <= 0)
     return 0;
-  uplink->waiting = MAX (uplink->waiting - left, 0) + (double) (sent - uplink->sent);
-  uplink->sent = sent;
-  uplink->at = now;
-  return (int64_t) (uplink->waiting / uplink->bytes_per_ms);
+  uplink->backlog_bytes
+      = MAX (uplink->backlog_bytes - left, 0) + (double) (sent - uplink->sent_bytes);
+  uplink->sent_bytes = sent;
+  uplink->updated_ms = now;
+  return (int64_t) (uplink->backlog_bytes / uplink->bytes_per_ms);
 }
--- a/daemon/claim_owner.c
+++ b/daemon/claim_owner.c
@@ -44,7 +44,7 @@
 }
 
 static bool
-read_reply (struct mt_str bytes, struct mt_once_ask *ask)
+read_reply (struct mt_str bytes, struct mt_once_request *ask)
 {
   msgpack_unpacked unpacked;
   const msgpack_object *fields;
@@ -86,7 +86,7 @@
             const char *owner,
             const struct mt_batch *batch,
             int64_t deadline_us,
-            struct mt_once_ask *ask)
+            struct mt_once_request *ask)
 {
   g_autoptr (GError) error = NULL;
   size_t len;
@@ -108,12 +108,13 @@
 mt_claim_owner_ask (struct mt_peers *peers,
                     const char *owner,
                     const struct mt_clock *clock,
-                    struct mt_once_ask *ask)
+                    struct mt_once_request *ask)
 {
-  struct mt_record record
-      = { .kind = MT_RECORD_CLAIM, .extra = ask->hold_ms, .key = { ask->key[0], ask->key[1] } };
+  struct mt_record record = { .kind = MT_RECORD_CLAIM,
+                              .extra = ask->holder_timeout_ms,
+                              .key = { ask->key[0], ask->key[1] } };
   int64_t now = mt_clock_now (clock);
-  int64_t left_us = MAX (0, ask->until_us - now) * 2 / 3;
+  int64_t left_us = MAX (0, ask->claim_deadline_us - now) * 2 / 3;
   struct mt_batch batch;
   enum mt_claim_sent sent;
 
@@ -132,7 +133,7 @@
                     const struct mt_clock *clock,
                     const GArray *ends)
 {
-  struct mt_once_ask ask = { 0 };
+  struct mt_once_request ask = { 0 };
   struct mt_batch batch;
   enum mt_claim_sent sent;
 
--- a/daemon/claim_owner.h
+++ b/daemon/claim_owner.h
@@ -23,7 +23,7 @@
 enum mt_claim_sent mt_claim_owner_ask (struct mt_peers *peers,
                                        const char *owner,
                                        const struct mt_clock *clock,
-                                       struct mt_once_ask *ask);
+                                       struct mt_once_request *ask);
 /* Hands ends over; false where that is not certain. */
 bool mt_claim_owner_end (struct mt_peers *peers,
                          const char *owner,
--- a/daemon/claims.c
+++ b/daemon/claims.c
@@ -34,7 +34,7 @@
   GMutex lock; /* guards all below */
   GCond work;
   struct mt_once *once;
-  struct mt_pace pace;
+  struct mt_token_bucket pace;
   bool stopping;
   bool faulty; /* the fault was logged */
   guint held;  /* atomic: claims held, for the other shards to see */
@@ -57,12 +57,12 @@
 
 struct waiter
 {
-  struct mt_once_ask ask;
+  struct mt_once_request ask;
   GCond changed;
 };
 
 static void
-wake_waiter (void *ctx, struct mt_once_ask *ask)
+wake_waiter (void *ctx, struct mt_once_request *ask)
 {
   struct waiter *waiter = ask->owner;
 
@@ -87,7 +87,7 @@
 static void
 log_fault (struct shard *shard)
 {
-  const char *fault = mt_once_fault (shard->once);
+  const char *fault = mt_once_read_error (shard->once);
 
   if (fault != NULL && !shard->faulty)
     mt_log_event (MT_EVENT_CLAIMS_UNREADABLE, "why=%s", fault);
@@ -101,10 +101,10 @@
   const struct shard *shards = shard->claims->shards;
   guint held = 0;
 
-  __atomic_store_n (&shard->held, mt_once_held (shard->once), __ATOMIC_RELAXED);
+  __atomic_store_n (&shard->held, mt_once_claim_count (shard->once), __ATOMIC_RELAXED);
   for (unsigned i = 0; i < SHARDS; i++)
     held += __atomic_load_n (&shards[i].held, __ATOMIC_RELAXED);
-  mt_once_set_room (shard->once, held < MAX_HELD ? MAX_HELD - held : 0);
+  mt_once_set_free_capacity (shard->once, held < MAX_HELD ? MAX_HELD - held : 0);
 }
 
 /* One call, made without the lock so that asks can be added and given up meanwhile. */
@@ -115,12 +115,12 @@
   struct mt_once_call call;
 
   share_room (shard);
-  if (!mt_once_next (shard->once, &call, wake_us))
+  if (!mt_once_next_call (shard->once, &call, wake_us))
     return false;
   g_mutex_unlock (&shard->lock);
-  mt_once_perform (mt_breaker_store (breaker), &call);
+  mt_once_perform_call (mt_breaker_store (breaker), &call);
   g_mutex_lock (&shard->lock);
-  mt_once_absorb (shard->once, &call);
+  mt_once_handle_result (shard->once, &call);
   log_fault (shard);
   /* Nobody waits for a service that is known to be down. */
   if (mt_breaker_is_open (breaker))
@@ -191,12 +191,12 @@
   struct mt_once_options options = { .clock = claims->options.clock,
                                      .shard = number,
                                      .writer = claims->writer,
-                                     .keep_us = KEEP_US,
-                                     .pace = &shard->pace,
+                                     .retention_us = KEEP_US,
+                                     .write_limit = &shard->pace,
                                      .settled = wake_waiter };
 
   shard->claims = claims;
-  shard->pace = (struct mt_pace){ .interval_us = WRITE_INTERVAL_US, .burst = WRITE_BURST };
+  shard->pace = (struct mt_token_bucket){ .interval_us = WRITE_INTERVAL_US, .burst = WRITE_BURST };
   shard->once = mt_once_create (&options);
   g_mutex_init (&shard->lock);
   g_cond_init (&shard->work);
@@ -247,7 +247,7 @@
 
 /* Commits the claim here, with this daemon's own writes. */
 static void
-ask_here (struct mt_claims *claims, struct mt_once_ask *ask)
+ask_here (struct mt_claims *claims, struct mt_once_request *ask)
 {
   struct shard *shard = &claims->shards[number_shard (ask->key)];
   struct waiter waiter = { .ask = *ask };
@@ -258,10 +258,10 @@
   waiter.ask.owner = &waiter;
   g_cond_init (&waiter.changed);
   g_mutex_lock (&shard->lock);
-  mt_once_ask (shard->once, &waiter.ask);
+  mt_once_request (shard->once, &waiter.ask);
   g_cond_signal (&shard->work);
   while (waiter.ask.result == MT_ONCE_PENDING
-         && wait_until (claims, &waiter.changed, &shard->lock, ask->until_us))
+         && wait_until (claims, &waiter.changed, &shard->lock, ask->claim_deadline_us))
     ;
   mt_once_cancel (shard->once, &waiter.ask);
   g_mutex_unlock (&shard->lock);
@@ -276,13 +276,13 @@
   struct shard *shard = &claims->shards[number_shard (record->key)];
 
   g_mutex_lock (&shard->lock);
-  mt_once_record (shard->once, record);
+  mt_once_add_end (shard->once, record);
   g_cond_signal (&shard->work);
   g_mutex_unlock (&shard->lock);
 }
 
 static void
-start_attempt (struct mt_claims *claims, struct mt_once_ask *ask)
+start_attempt (struct mt_claims *claims, struct mt_once_request *ask)
 {
   ask->attempt[0] = claims->writer;
   ask->attempt[1] = __atomic_add_fetch (&claims->attempts, 1, __ATOMIC_RELAXED);
@@ -292,7 +292,7 @@
  * another attempt, and where the first may have been claimed it is released before, in the same
  * batch or an earlier one, so that an owner which is slow to commit it frees or blocks nobody. */
 static bool
-ask_owner (struct mt_claims *claims, struct mt_once_ask *ask)
+ask_owner (struct mt_claims *claims, struct mt_once_request *ask)
 {
   g_autofree char *owner
       = mt_claim_owner_find (claims->options.peers, claims->options.name, number_shard (ask->key));
@@ -352,7 +352,7 @@
                 struct mt_claim *claim)
 {
   int64_t now = mt_clock_now (claims->options.clock);
-  struct mt_once_ask ask = { .until_us = MIN (deadline_us, now + MAX_WAIT_US) };
+  struct mt_once_request ask = { .claim_deadline_us = MIN (deadline_us, now + MAX_WAIT_US) };
 
   *claim = (struct mt_claim){ 0 };
   if (is_expired (claims, key))
@@ -360,7 +360,7 @@
   if (deadline_us <= now)
     return MT_CLAIM_UNAVAILABLE;
   hash_key (scope, key, ask.key);
-  ask.hold_ms = (unsigned) ((deadline_us - now) / MT_MS) + HOLD_MS;
+  ask.holder_timeout_ms = (unsigned) ((deadline_us - now) / MT_MS) + HOLD_MS;
   start_attempt (claims, &ask);
   if (!ask_owner (claims, &ask))
     ask_here (claims, &ask);
@@ -450,14 +450,14 @@
 serve_claim (struct mt_claims *claims,
              const struct mt_record *record,
              int64_t left_ms,
-             struct mt_once_ask *ask)
+             struct mt_once_request *ask)
 {
   int64_t left_us = MIN (left_ms * MT_MS, MAX_WAIT_US);
 
   memcpy (ask->key, record->key, sizeof ask->key);
   memcpy (ask->attempt, record->attempt, sizeof ask->attempt);
-  ask->hold_ms = record->extra;
-  ask->until_us = mt_clock_now (claims->options.clock) + left_us;
+  ask->holder_timeout_ms = record->extra;
+  ask->claim_deadline_us = mt_clock_now (claims->options.clock) + left_us;
   ask_here (claims, ask);
 }
 
@@ -465,7 +465,7 @@
 mt_claims_serve (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
 {
   struct mt_claims *claims = ctx;
-  struct mt_once_ask ask = { .result = MT_ONCE_GRANTED };
+  struct mt_once_request ask = { .result = MT_ONCE_GRANTED };
   struct mt_batch batch;
   char *reply = NULL;
 
@@ -535,9 +535,9 @@
       struct shard *shard = &claims->shards[i];
 
       g_mutex_lock (&shard->lock);
-      held += mt_once_held (shard->once);
-      if (mt_once_fault (shard->once) != NULL)
-        json_array_append_new (faults, json_string (mt_once_fault (shard->once)));
+      held += mt_once_claim_count (shard->once);
+      if (mt_once_read_error (shard->once) != NULL)
+        json_array_append_new (faults, json_string (mt_once_read_error (shard->once)));
       g_mutex_unlock (&shard->lock);
     }
   json_object_set_new (out, "held", json_integer (held));
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -165,7 +165,7 @@
     return MT_DISPATCH_LOST;
   if (is_refusal (answer))
     return MT_DISPATCH_REFUSED;
-  return answer->status >= 500 ? MT_DISPATCH_BAD : MT_DISPATCH_GOOD;
+  return answer->status >= 500 ? MT_DISPATCH_SERVER_ERROR : MT_DISPATCH_SUCCESS;
 }
 
 static void
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -60,10 +60,10 @@
   static const enum mt_event events[] = {
     [MT_MEMBER_JOINED] = MT_EVENT_MEMBER_JOINED,
     [MT_MEMBER_SUSPECTED] = MT_EVENT_MEMBER_SUSPECTED,
-    [MT_MEMBER_BACK] = MT_EVENT_MEMBER_BACK,
+    [MT_MEMBER_RECOVERED] = MT_EVENT_MEMBER_BACK,
     [MT_MEMBER_REMOVED] = MT_EVENT_MEMBER_REMOVED,
-    [MT_MEMBER_LEAVES] = MT_EVENT_MEMBER_LEAVES,
-    [MT_MEMBER_NAME_TWICE] = MT_EVENT_MEMBER_NAME_TWICE,
+    [MT_MEMBER_LEAVING] = MT_EVENT_MEMBER_LEAVES,
+    [MT_MEMBER_DUPLICATE_NAME] = MT_EVENT_MEMBER_NAME_TWICE,
   };
 
   mt_log_event (events[event], "member=%s zone=%s address=%s", member->name, member->zone,
@@ -116,17 +116,18 @@
   bool ok;
 
   g_mutex_lock (&peers->lock);
-  ask = mt_membership_ask (peers->membership, &ask_len);
+  ask = mt_membership_make_request (peers->membership, &ask_len);
   g_mutex_unlock (&peers->lock);
   ok = mt_peer_client_call (peers->client, address, type, (struct mt_str){ ask, ask_len },
                             mt_clock_now (peers->clock) + budget_us, &reply, &reply_len, NULL);
   g_mutex_lock (&peers->lock);
   if (ok)
-    ok = mt_membership_take (peers->membership, (struct mt_str){ reply, reply_len }, &from, NULL);
+    ok = mt_membership_handle_response (peers->membership, (struct mt_str){ reply, reply_len },
+                                        &from, NULL);
   if (!ok)
     from = g_strdup (name_at (peers, address));
   if (from != NULL)
-    mt_membership_reached (peers->membership, from, ok);
+    mt_membership_record_call (peers->membership, from, ok);
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
   free (reply);
@@ -187,7 +188,7 @@
   char *reply;
 
   g_mutex_lock (&peers->lock);
-  reply = mt_membership_answer (peers->membership, body, reply_len, NULL);
+  reply = mt_membership_handle_request (peers->membership, body, reply_len, NULL);
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
   return reply;
@@ -303,8 +304,8 @@
   g_mutex_lock (&peers->lock);
   peers->beats++;
   mt_membership_set_versions (peers->membership, tables, assign);
-  mt_membership_beat (peers->membership);
-  n = mt_membership_pick (peers->membership, picked, FAN_OUT);
+  mt_membership_heartbeat (peers->membership);
+  n = mt_membership_pick_peers (peers->membership, picked, FAN_OUT);
   stranger = pick_stranger (peers);
   g_mutex_unlock (&peers->lock);
   for (size_t i = 0; i < n; i++)
@@ -358,7 +359,7 @@
       peers->kicked = false;
       beaten_us = now;
       if (now >= beat_us)
-        beat_us = now + MT_MEMBERSHIP_BEAT_US;
+        beat_us = now + MT_MEMBERSHIP_HEARTBEAT_US;
       g_mutex_unlock (&peers->lock);
       beat (peers);
       g_mutex_lock (&peers->lock);
@@ -389,7 +390,7 @@
 
   g_mutex_lock (&peers->lock);
   mt_membership_set_leaving (peers->membership);
-  mt_membership_beat (peers->membership);
+  mt_membership_heartbeat (peers->membership);
   mt_membership_each (peers->membership, collect_address, addresses);
   /* Who was asked for the first time a moment ago knows of this daemon before this one has the
    * answer, and would otherwise take it for alive until it is silent. */
@@ -577,7 +578,7 @@
   if (ok || g_error_matches (cause, MT_ERROR, MT_ERROR_UNAVAILABLE))
     {
       g_mutex_lock (&peers->lock);
-      mt_membership_reached (peers->membership, name, ok);
+      mt_membership_record_call (peers->membership, name, ok);
       g_mutex_unlock (&peers->lock);
     }
   if (!ok)
@@ -598,9 +599,10 @@
       ctx, member->name,
       json_pack ("{ss ss sb sb sI ss sI sI sI sI sI}", "zone", member->zone, "address",
                  member->address, "alive", mt_membership_is_alive (member), "leaving",
-                 member->leaving, "age_ms", (json_int_t) (member->age_us / MT_MS), "reachable",
-                 reach[member->reach], "tables_version", (json_int_t) member->tables_version,
-                 "assign_version", (json_int_t) member->assign_version, "incarnation",
+                 member->leaving, "age_ms", (json_int_t) (member->heartbeat_age_us / MT_MS),
+                 "reachable", reach[member->reach], "tables_version",
+                 (json_int_t) member->tables_version, "assign_version",
+                 (json_int_t) member->assign_version, "incarnation",
                  (json_int_t) member->incarnation, "heartbeat", (json_int_t) member->heartbeat,
                  "minions_loaded", (json_int_t) member->n_loads));
 }
--- a/daemon/pools.c
+++ b/daemon/pools.c
@@ -204,8 +204,8 @@
 {
   while (slot->state == SLOT_WAITING)
     {
-      int64_t left
-          = mt_dispatch_due (slot->pool->dispatch, &slot->ticket) - mt_clock_now (pools->clock);
+      int64_t left = mt_dispatch_next_tick_us (slot->pool->dispatch, &slot->ticket)
+                     - mt_clock_now (pools->clock);
 
       if (left <= 0
           || !g_cond_wait_until (&slot->changed, &slot->pool->lock, g_get_monotonic_time () + left))
@@ -220,7 +220,7 @@
     {
     case MT_REFUSAL_QUEUE_FULL:
       return MT_SLOT_QUEUE_FULL;
-    case MT_REFUSAL_TOO_LATE:
+    case MT_REFUSAL_DEADLINE:
       return MT_SLOT_TOO_LATE;
     case MT_REFUSAL_RETRY_BUDGET:
       return MT_SLOT_RETRY_BUDGET;
@@ -241,7 +241,7 @@
   slot->ticket.audience = request->audience;
   slot->ticket.deadline_us = request->deadline_us;
   slot->ticket.avoid = request->avoid;
-  slot->ticket.again = request->again;
+  slot->ticket.is_retry = request->again;
   slot->ticket.owner = slot;
   return slot;
 }
@@ -252,17 +252,17 @@
   struct pool *pool = find_pool (pools, request->pool);
   struct mt_slot *slot;
   enum mt_slot_result result = MT_SLOT_GRANTED;
-  enum mt_admit admit;
+  enum mt_dispatch_admission admit;
 
   if (pool == NULL)
     return MT_SLOT_NO_POOL;
   slot = make_slot (pool, request);
   g_mutex_lock (&pool->lock);
-  admit = mt_dispatch_ask (pool->dispatch, &slot->ticket, request->queue_limit);
-  slot->waited = admit == MT_ADMIT_WAIT;
+  admit = mt_dispatch_submit (pool->dispatch, &slot->ticket, request->queue_limit);
+  slot->waited = admit == MT_ADMISSION_QUEUED;
   if (slot->waited)
     wait_for_grant (pools, slot);
-  if (admit == MT_ADMIT_REFUSE || slot->state == SLOT_EXPIRED)
+  if (admit == MT_ADMISSION_REFUSED || slot->state == SLOT_EXPIRED)
     result = describe_refusal (slot->ticket.refusal);
   g_mutex_unlock (&pool->lock);
   if (result == MT_SLOT_GRANTED)
@@ -323,7 +323,7 @@
   struct pool *pool = slot->pool;
 
   g_mutex_lock (&pool->lock);
-  mt_dispatch_done (pool->dispatch, &slot->ticket, result);
+  mt_dispatch_complete (pool->dispatch, &slot->ticket, result);
   g_mutex_unlock (&pool->lock);
   free_slot (slot);
 }
@@ -402,7 +402,7 @@
       struct pool *pool = value;
 
       g_mutex_lock (&pool->lock);
-      visitor->pool (visitor->ctx, name, mt_dispatch_waiting (pool->dispatch),
+      visitor->pool (visitor->ctx, name, mt_dispatch_queue_length (pool->dispatch),
                      mt_dispatch_in_flight (pool->dispatch, NULL));
       mt_dispatch_each (pool->dispatch, visitor->minion, visitor->ctx);
       g_mutex_unlock (&pool->lock);
@@ -424,10 +424,10 @@
   json_t *minions = json_object ();
 
   mt_dispatch_each (dispatch, dump_minion, minions);
-  return json_pack ("{si si si si sI so}", "waiting", (int) mt_dispatch_waiting (dispatch),
+  return json_pack ("{si si si si sI so}", "waiting", (int) mt_dispatch_queue_length (dispatch),
                     "in_flight", (int) mt_dispatch_in_flight (dispatch, NULL), "usable_slots",
-                    (int) mt_dispatch_usable (dispatch, NULL), "ejected",
-                    (int) mt_dispatch_ejected (dispatch), "service_us",
+                    (int) mt_dispatch_usable_slots (dispatch, NULL), "ejected",
+                    (int) mt_dispatch_ejected_count (dispatch), "service_us",
                     (json_int_t) mt_dispatch_service_us (dispatch), "minions_in_flight", minions);
 }
 
--- a/include/medlartrack/balance.h
+++ b/include/medlartrack/balance.h
@@ -10,16 +10,16 @@
 
 struct mt_balance_load
 {
-  unsigned usable;    /* slots that this daemon may fill; 0 takes nothing */
-  unsigned in_flight; /* by this daemon */
-  unsigned others;    /* in flight by other daemons, as they last said */
-  unsigned penalty;   /* counts as so many more in flight: recent failures */
+  unsigned usable_slots;     /* slots that this daemon may fill; 0 takes nothing */
+  unsigned in_flight;        /* by this daemon */
+  unsigned others_in_flight; /* in flight by other daemons, as they last said */
+  unsigned penalty;          /* counts as so many more in flight: recent failures */
 };
 
 /* Random numbers and the place in the turn; each user of a policy has its own. */
 struct mt_balance_state
 {
-  uint64_t random; /* not 0 */
+  uint64_t random_state; /* not 0 */
   size_t cursor;
 };
 
--- a/include/medlartrack/dispatch.h
+++ b/include/medlartrack/dispatch.h
@@ -16,7 +16,7 @@
   MT_REFUSAL_NONE,
   MT_REFUSAL_NO_MINION,    /* none takes work */
   MT_REFUSAL_QUEUE_FULL,   /* as many wait as the route allows */
-  MT_REFUSAL_TOO_LATE,     /* could not be answered by its deadline any more */
+  MT_REFUSAL_DEADLINE,     /* could not be answered by its deadline any more */
   MT_REFUSAL_RETRY_BUDGET, /* retries are too large a part of the load already */
 };
 
@@ -26,10 +26,10 @@
   uint64_t audience; /* callers of one audience share one queue */
   int64_t deadline_us;
   const char *avoid; /* minion that just failed this request, or NULL */
-  bool again;        /* a retry: it needs a token of the retry budget */
+  bool is_retry;     /* a retry: it needs a token of the retry budget */
   void *owner;
   /* Set once granted. */
-  char *minion; /* name; owned by the dispatch until mt_dispatch_done */
+  char *minion; /* name; owned by the dispatch until mt_dispatch_complete */
   const char *address;
   unsigned connections; /* this daemon's part of the minion's limit */
   int64_t granted_us;
@@ -39,21 +39,21 @@
   struct mt_fair_item item;
 };
 
-enum mt_admit
+enum mt_dispatch_admission
 {
-  MT_ADMIT_RUN,    /* the ticket holds a slot */
-  MT_ADMIT_WAIT,   /* queued; granted or expired through the callbacks */
-  MT_ADMIT_REFUSE, /* not queued; the ticket's refusal tells why */
+  MT_ADMISSION_GRANTED, /* the ticket holds a slot */
+  MT_ADMISSION_QUEUED,  /* queued; granted or expired through the callbacks */
+  MT_ADMISSION_REFUSED, /* not queued; the ticket's refusal tells why */
 };
 
 enum mt_dispatch_result
 {
-  MT_DISPATCH_GOOD,     /* a whole answer that isn't the minion's own failure */
-  MT_DISPATCH_BAD,      /* a whole answer that is (5xx) */
-  MT_DISPATCH_NOT_SENT, /* could not connect */
-  MT_DISPATCH_LOST,     /* cut, late or crossed */
-  MT_DISPATCH_REFUSED,  /* the minion says that it did not run it: its slots are full */
-  MT_DISPATCH_UNUSED,   /* nothing was sent: says nothing of the minion */
+  MT_DISPATCH_SUCCESS,      /* a whole answer that isn't the minion's own failure */
+  MT_DISPATCH_SERVER_ERROR, /* a whole answer that is (5xx) */
+  MT_DISPATCH_NOT_SENT,     /* could not connect */
+  MT_DISPATCH_LOST,         /* cut, late or crossed */
+  MT_DISPATCH_REFUSED,      /* the minion says that it did not run it: its slots are full */
+  MT_DISPATCH_UNUSED,       /* nothing was sent: says nothing of the minion */
 };
 
 struct mt_dispatch_callbacks
@@ -89,25 +89,27 @@
 bool mt_dispatch_is_leaving (const struct mt_dispatch *dispatch, const char *name);
 void mt_dispatch_rejoin (struct mt_dispatch *dispatch, const char *name);
 
-enum mt_admit
-mt_dispatch_ask (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit);
+enum mt_dispatch_admission
+mt_dispatch_submit (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit);
 /* Gives the slot back and grants it to a waiter. */
-void mt_dispatch_done (struct mt_dispatch *dispatch,
-                       struct mt_ticket *ticket,
-                       enum mt_dispatch_result result);
+void mt_dispatch_complete (struct mt_dispatch *dispatch,
+                           struct mt_ticket *ticket,
+                           enum mt_dispatch_result result);
 /* Takes a waiting ticket out, such as one whose caller hung up. */
 void mt_dispatch_cancel (struct mt_dispatch *dispatch, struct mt_ticket *ticket);
-/* Does what the passing of time brings: gives up, probes, grants. Due at mt_dispatch_due. */
+/* Does what the passing of time brings: gives up, probes, grants. Due at mt_dispatch_next_tick_us.
+ */
 void mt_dispatch_tick (struct mt_dispatch *dispatch);
 /* When mt_dispatch_tick could next find something for this waiting ticket. */
-int64_t mt_dispatch_due (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket);
+int64_t mt_dispatch_next_tick_us (const struct mt_dispatch *dispatch,
+                                  const struct mt_ticket *ticket);
 
-unsigned mt_dispatch_waiting (const struct mt_dispatch *dispatch);
+unsigned mt_dispatch_queue_length (const struct mt_dispatch *dispatch);
 /* In flight on one minion by this daemon, or on all with NULL. */
 unsigned mt_dispatch_in_flight (const struct mt_dispatch *dispatch, const char *name);
 /* Slots that this daemon may fill now, of one minion or of all with NULL. */
-unsigned mt_dispatch_usable (const struct mt_dispatch *dispatch, const char *name);
-unsigned mt_dispatch_ejected (const struct mt_dispatch *dispatch);
+unsigned mt_dispatch_usable_slots (const struct mt_dispatch *dispatch, const char *name);
+unsigned mt_dispatch_ejected_count (const struct mt_dispatch *dispatch);
 /* How long the queue now waiting would take. */
 int64_t mt_dispatch_backlog_us (const struct mt_dispatch *dispatch);
 /* Moving mean of the time that a slot is taken; 0 before the first. */
--- a/include/medlartrack/membership.h
+++ b/include/medlartrack/membership.h
@@ -12,12 +12,13 @@
 
 #include <glib.h>
 
-#define MT_MEMBERSHIP_BEAT_US    MT_SECOND       /* the owner calls mt_membership_beat this often */
-#define MT_MEMBERSHIP_SUSPECT_US (5 * MT_SECOND) /* silent this long: not alive */
-#define MT_MEMBERSHIP_REMOVE_US  (30 * MT_SECOND) /* silent this long: forgotten */
-#define MT_MEMBERSHIP_MAX        256              /* members; more are not taken in */
-#define MT_MEMBERSHIP_MAX_LOADS  4096             /* minions or pools in one member's report */
-#define MT_MEMBERSHIP_MAX_BODY   (256 * 1024)     /* bytes of one heartbeat message */
+#define MT_MEMBERSHIP_HEARTBEAT_US                                                                 \
+  MT_SECOND /* the owner calls mt_membership_heartbeat this often */
+#define MT_MEMBERSHIP_SUSPECT_US        (5 * MT_SECOND)  /* silent this long: not alive */
+#define MT_MEMBERSHIP_REMOVE_US         (30 * MT_SECOND) /* silent this long: forgotten */
+#define MT_MEMBERSHIP_MAX_MEMBERS       256              /* members; more are not taken in */
+#define MT_MEMBERSHIP_MAX_LOADS         4096         /* minions or pools in one member's report */
+#define MT_MEMBERSHIP_MAX_MESSAGE_BYTES (256 * 1024) /* bytes of one heartbeat message */
 
 /* In flight on one minion, as one daemon reports it. */
 struct mt_member_load
@@ -47,12 +48,12 @@
 {
   char *name;
   char *zone;
-  char *address;        /* IP:PORT of its peer listener */
-  uint64_t incarnation; /* a restart under the same name has a higher one */
-  uint64_t heartbeat;   /* grows with each of its own heartbeats */
-  int64_t heard_us;     /* when this daemon last saw it grow, on the membership's own clock */
-  int64_t age_us;       /* since then; up to date in what a visitor or a search gets */
-  bool leaving;         /* it stops gracefully */
+  char *address;             /* IP:PORT of its peer listener */
+  uint64_t incarnation;      /* a restart under the same name has a higher one */
+  uint64_t heartbeat;        /* grows with each of its own heartbeats */
+  int64_t heartbeat_seen_us; /* when this daemon last saw it grow, on the membership's own clock */
+  int64_t heartbeat_age_us;  /* since then; up to date in what a visitor or a search gets */
+  bool leaving;              /* it stops gracefully */
   enum mt_reach reach;
   uint64_t tables_version;
   uint64_t assign_version; /* assignment document in force, 0 for none */
@@ -67,12 +68,12 @@
 
 enum mt_membership_event
 {
-  MT_MEMBER_JOINED,     /* first heard of, heard of again after removal, or restarted */
-  MT_MEMBER_SUSPECTED,  /* silent for the suspicion time */
-  MT_MEMBER_BACK,       /* suspected, and its heartbeat grew again */
-  MT_MEMBER_REMOVED,    /* silent for the removal time, or done leaving */
-  MT_MEMBER_LEAVES,     /* told that it stops */
-  MT_MEMBER_NAME_TWICE, /* two processes beat under one name */
+  MT_MEMBER_JOINED,         /* first heard of, heard of again after removal, or restarted */
+  MT_MEMBER_SUSPECTED,      /* silent for the suspicion time */
+  MT_MEMBER_RECOVERED,      /* suspected, and its heartbeat grew again */
+  MT_MEMBER_REMOVED,        /* silent for the removal time, or done leaving */
+  MT_MEMBER_LEAVING,        /* told that it stops */
+  MT_MEMBER_DUPLICATE_NAME, /* two processes beat under one name */
 };
 
 struct mt_membership_callbacks
@@ -111,31 +112,31 @@
                               const struct mt_member_demand *demands,
                               size_t n_demands);
 /* One heartbeat of this daemon's own; judges the others' silence. */
-void mt_membership_beat (struct mt_membership *membership);
+void mt_membership_heartbeat (struct mt_membership *membership);
 
 /* The three steps of one exchange. Each result is malloced, the caller frees it. */
-char *mt_membership_ask (struct mt_membership *membership, size_t *len);
+char *mt_membership_make_request (struct mt_membership *membership, size_t *len);
 /* Takes what the ask tells and answers what is newer here; NULL with an error for a bad ask. */
-char *mt_membership_answer (struct mt_membership *membership,
-                            struct mt_str ask,
-                            size_t *len,
-                            GError **error);
+char *mt_membership_handle_request (struct mt_membership *membership,
+                                    struct mt_str ask,
+                                    size_t *len,
+                                    GError **error);
 /* Takes an answer; nothing of a bad one is taken. *from is the g_freed name of who answered. */
-bool mt_membership_take (struct mt_membership *membership,
-                         struct mt_str answer,
-                         char **from,
-                         GError **error);
+bool mt_membership_handle_response (struct mt_membership *membership,
+                                    struct mt_str answer,
+                                    char **from,
+                                    GError **error);
 /* How a call of this daemon's own to the member ended. */
-void mt_membership_reached (struct mt_membership *membership, const char *name, bool ok);
+void mt_membership_record_call (struct mt_membership *membership, const char *name, bool ok);
 
 /* Addresses to ask next, each g_freed: the members in turn, so that each is called within
  * members/count rounds; now and then also one that was removed, to find the other side of a cut
  * that has healed. Returns how many. */
-size_t mt_membership_pick (struct mt_membership *membership, char **out, size_t count);
+size_t mt_membership_pick_peers (struct mt_membership *membership, char **out, size_t count);
 
 /* The member, or NULL; valid until the next call that changes the membership. */
 const struct mt_member *mt_membership_find (struct mt_membership *membership, const char *name);
-const struct mt_member *mt_membership_own (struct mt_membership *membership);
+const struct mt_member *mt_membership_self (struct mt_membership *membership);
 /* Heard of within the suspicion time, one that is leaving included; this daemon itself always is.
  */
 bool mt_membership_is_alive (const struct mt_member *member);
--- a/include/medlartrack/pace.h
+++ b/include/medlartrack/pace.h
@@ -6,16 +6,16 @@
 
 #include <stdbool.h>
 
-struct mt_pace
+struct mt_token_bucket
 {
   int64_t interval_us; /* between two calls in the long run */
   unsigned burst;      /* calls that may be made at once after a pause */
-  int64_t next_us;     /* when the bucket would be full again; 0 at first */
+  int64_t full_us;     /* when the bucket would be full again; 0 at first */
 };
 
 /* Takes a token if there is one. */
-bool mt_pace_take (struct mt_pace *pace, int64_t now_us);
+bool mt_token_bucket_take (struct mt_token_bucket *pace, int64_t now_us);
 /* When the next token comes; not later than now where there is one. */
-int64_t mt_pace_when (const struct mt_pace *pace, int64_t now_us);
+int64_t mt_token_bucket_next_token_us (const struct mt_token_bucket *pace, int64_t now_us);
 
 #endif
--- a/include/medlartrack/retry_budget.h
+++ b/include/medlartrack/retry_budget.h
@@ -6,9 +6,9 @@
 #include <stdbool.h>
 
 /* Thousandths of a token. */
-#define MT_RETRY_COST    1000
-#define MT_RETRY_DEPOSIT 100   /* one retry for ten first tries */
-#define MT_RETRY_MOST    10000 /* burst, and what a new budget holds */
+#define MT_RETRY_COST       1000
+#define MT_RETRY_DEPOSIT    100   /* one retry for ten first tries */
+#define MT_RETRY_MAX_TOKENS 10000 /* burst, and what a new budget holds */
 
 struct mt_retry_budget
 {
--- a/include/medlartrack/service_time.h
+++ b/include/medlartrack/service_time.h
@@ -6,12 +6,12 @@
 
 struct mt_service_time
 {
-  int64_t mean_us;   /* moving; 0 before the first sample */
-  int64_t spread_us; /* moving mean of the distance from it */
+  int64_t mean_us;           /* moving; 0 before the first sample */
+  int64_t mean_deviation_us; /* moving mean of the distance from it */
 };
 
-void mt_service_time_learn (struct mt_service_time *service, int64_t sample_us);
+void mt_service_time_add_sample (struct mt_service_time *service, int64_t sample_us);
 /* Most work is done within so long. */
-int64_t mt_service_time_needed (const struct mt_service_time *service);
+int64_t mt_service_time_upper_estimate_us (const struct mt_service_time *service);
 
 #endif
--- a/include/medlartrack/uplink.h
+++ b/include/medlartrack/uplink.h
@@ -9,10 +9,10 @@
 
 struct mt_uplink
 {
-  double bytes_per_ms; /* 0: the link is not known, and nothing waits */
-  double waiting;      /* bytes */
-  uint64_t sent;       /* bytes in all, as last told */
-  int64_t at;
+  double bytes_per_ms;  /* 0: the link is not known, and nothing waits */
+  double backlog_bytes; /* bytes */
+  uint64_t sent_bytes;  /* bytes in all, as last told */
+  int64_t updated_ms;
 };
 
 /* mbps: what the link carries, in millions of bits a second; 0 where it isn't known. */
--- a/tests/fuzz/fuzz_heartbeats.c
+++ b/tests/fuzz/fuzz_heartbeats.c
@@ -21,16 +21,19 @@
 {
   size_t ask_len;
   size_t answer_len;
-  char *ask = mt_membership_ask (teller, &ask_len);
-  char *answer = mt_membership_answer (told, (struct mt_str){ ask, ask_len }, &answer_len, NULL);
+  char *ask = mt_membership_make_request (teller, &ask_len);
+  char *answer
+      = mt_membership_handle_request (told, (struct mt_str){ ask, ask_len }, &answer_len, NULL);
 
   g_assert (answer != NULL);
   free (ask);
   free (answer);
-  ask = mt_membership_ask (told, &ask_len);
-  answer = mt_membership_answer (teller, (struct mt_str){ ask, ask_len }, &answer_len, NULL);
+  ask = mt_membership_make_request (told, &ask_len);
+  answer
+      = mt_membership_handle_request (teller, (struct mt_str){ ask, ask_len }, &answer_len, NULL);
   g_assert (answer != NULL);
-  g_assert (mt_membership_take (told, (struct mt_str){ answer, answer_len }, NULL, NULL));
+  g_assert (
+      mt_membership_handle_response (told, (struct mt_str){ answer, answer_len }, NULL, NULL));
   free (ask);
   free (answer);
 }
@@ -43,14 +46,14 @@
   struct mt_membership *other = start (mt_clock_manual_clock (manual), "other");
   g_autoptr (GError) error = NULL;
   size_t len;
-  char *answer
-      = mt_membership_answer (own, (struct mt_str){ (const char *) data, size }, &len, &error);
+  char *answer = mt_membership_handle_request (own, (struct mt_str){ (const char *) data, size },
+                                               &len, &error);
 
   g_assert ((answer == NULL) == (error != NULL));
   if (answer == NULL)
     g_assert (mt_membership_count (own) == 1);
   free (answer);
-  mt_membership_beat (own);
+  mt_membership_heartbeat (own);
   check_told (other, own);
   mt_membership_destroy (own);
   mt_membership_destroy (other);
--- a/tests/membership/prop_membership.cpp
+++ b/tests/membership/prop_membership.cpp
@@ -39,7 +39,7 @@
     options.callbacks = &callbacks;
     options.ctx = this;
     m = mt_membership_create (&options);
-    mt_membership_beat (m);
+    mt_membership_heartbeat (m);
   }
   ~Node ()
   {
@@ -50,20 +50,22 @@
   ask ()
   {
     size_t len = 0;
-    char *bytes = mt_membership_ask (m, &len);
+    char *bytes = mt_membership_make_request (m, &len);
     return own (bytes, len);
   }
   Bytes
   answer (const Bytes &ask)
   {
     size_t len = 0;
-    char *bytes = mt_membership_answer (m, mt_str{ ask.data (), ask.size () }, &len, nullptr);
+    char *bytes
+        = mt_membership_handle_request (m, mt_str{ ask.data (), ask.size () }, &len, nullptr);
     return own (bytes, len);
   }
   void
   take (const Bytes &answer)
   {
-    RC_ASSERT (mt_membership_take (m, mt_str{ answer.data (), answer.size () }, nullptr, nullptr));
+    RC_ASSERT (mt_membership_handle_response (m, mt_str{ answer.data (), answer.size () }, nullptr,
+                                              nullptr));
   }
   bool
   knows (unsigned number)
@@ -164,7 +166,7 @@
     mt_clock_manual_advance (clock, MT_SECOND);
     for (auto &node : nodes)
       if (node)
-        mt_membership_beat (node->m);
+        mt_membership_heartbeat (node->m);
     for (unsigned i = 0; i < nodes.size (); i++)
       for (unsigned k = 0; k < 2 && nodes[i]; k++)
         exchange (i, (i + 1 + random () % (nodes.size () - 1)) % nodes.size (), lose);
@@ -209,7 +211,7 @@
         {
         case 0:
           mt_clock_manual_advance (fleet.clock, *rc::gen::inRange<int64_t> (0, 4 * MT_SECOND));
-          mt_membership_beat (node.m);
+          mt_membership_heartbeat (node.m);
           break;
         case 1:
           mt_membership_set_versions (node.m, *rc::gen::inRange (0, 50), 0);
@@ -244,7 +246,7 @@
 
       mt_membership_set_versions (node.m, *rc::gen::inRange (0, 50), 0);
       mt_membership_set_loads (node.m, &load, 1, nullptr, 0);
-      mt_membership_beat (node.m);
+      mt_membership_heartbeat (node.m);
       fleet.exchange (fleet.any (), fleet.any (), 0);
       // A stranger's ask is answered with all that the node knows.
       news.push_back (node.answer (Node (100, fleet.clock).ask ()));
--- a/tests/membership/test_membership.c
+++ b/tests/membership/test_membership.c
@@ -14,7 +14,7 @@
 {
   struct mt_clock_manual *clock;
   struct mt_membership *membership;
-  unsigned events[MT_MEMBER_NAME_TWICE + 1];
+  unsigned events[MT_MEMBER_DUPLICATE_NAME + 1];
 };
 
 static void
@@ -38,7 +38,7 @@
   options.callbacks = &count_events;
   options.ctx = d;
   d->membership = mt_membership_create (&options);
-  mt_membership_beat (d->membership);
+  mt_membership_heartbeat (d->membership);
   return d;
 }
 
@@ -56,7 +56,7 @@
   for (unsigned i = 0; i < seconds; i++)
     {
       mt_clock_manual_advance (d->clock, MT_SECOND);
-      mt_membership_beat (d->membership);
+      mt_membership_heartbeat (d->membership);
     }
 }
 
@@ -66,12 +66,13 @@
   size_t ask_len;
   size_t len;
   g_autoptr (GError) error = NULL;
-  char *ask = mt_membership_ask (from->membership, &ask_len);
-  char *answer
-      = mt_membership_answer (to->membership, (struct mt_str){ ask, ask_len }, &len, &error);
+  char *ask = mt_membership_make_request (from->membership, &ask_len);
+  char *answer = mt_membership_handle_request (to->membership, (struct mt_str){ ask, ask_len },
+                                               &len, &error);
 
   assert_non_null (answer);
-  assert_true (mt_membership_take (from->membership, (struct mt_str){ answer, len }, NULL, NULL));
+  assert_true (
+      mt_membership_handle_response (from->membership, (struct mt_str){ answer, len }, NULL, NULL));
   free (ask);
   free (answer);
   return ask_len + len;
@@ -100,8 +101,8 @@
       pass (c, 1);
       exchange (c, b);
       exchange (a, b);
-      mt_membership_reached (a->membership, "b", true);
-      mt_membership_reached (a->membership, "c", false);
+      mt_membership_record_call (a->membership, "b", true);
+      mt_membership_record_call (a->membership, "c", false);
       assert_true (mt_membership_is_alive (find (a, "c")));
     }
   assert_int_equal (find (a, "c")->reach, MT_REACH_NO);
@@ -187,7 +188,7 @@
 
   exchange (first, other);
   exchange (second, other);
-  assert_int_equal (other->events[MT_MEMBER_NAME_TWICE], 0);
+  assert_int_equal (other->events[MT_MEMBER_DUPLICATE_NAME], 0);
   for (int i = 0; i < 4; i++)
     {
       pass (first, 1);
@@ -195,8 +196,8 @@
       exchange (first, other);
       exchange (second, other);
     }
-  assert_int_equal (other->events[MT_MEMBER_NAME_TWICE], 1);
-  assert_int_equal (first->events[MT_MEMBER_NAME_TWICE], 1);
+  assert_int_equal (other->events[MT_MEMBER_DUPLICATE_NAME], 1);
+  assert_int_equal (first->events[MT_MEMBER_DUPLICATE_NAME], 1);
   assert_true (find (other, "twin")->incarnation == 20);
   stop (first);
   stop (second);
@@ -224,8 +225,8 @@
     }
   exchange (after, other);
   assert_true (find (other, "a")->tables_version == 7);
-  assert_int_equal (other->events[MT_MEMBER_NAME_TWICE], 0);
-  assert_int_equal (after->events[MT_MEMBER_NAME_TWICE], 0);
+  assert_int_equal (other->events[MT_MEMBER_DUPLICATE_NAME], 0);
+  assert_int_equal (after->events[MT_MEMBER_DUPLICATE_NAME], 0);
   stop (after);
   stop (other);
 }
@@ -241,7 +242,7 @@
   pass (a, 1);
   exchange (a, b);
   assert_true (find (b, "a")->leaving);
-  assert_int_equal (b->events[MT_MEMBER_LEAVES], 1);
+  assert_int_equal (b->events[MT_MEMBER_LEAVING], 1);
   pass (b, 6);
   assert_null (find (b, "a"));
   assert_int_equal (b->events[MT_MEMBER_SUSPECTED], 0);
@@ -333,7 +334,7 @@
       g_autoptr (GError) error = NULL;
       size_t len;
 
-      assert_null (mt_membership_answer (a->membership, bad[i], &len, &error));
+      assert_null (mt_membership_handle_request (a->membership, bad[i], &len, &error));
       assert_true (error != NULL && error->domain == MT_ERROR);
     }
   assert_int_equal (mt_membership_count (a->membership), 1);
--- a/tests/once/property_once.cpp
+++ b/tests/once/property_once.cpp
@@ -24,7 +24,7 @@
 
 struct Ask
 {
-  struct mt_once_ask ask = {};
+  struct mt_once_request ask = {};
   unsigned writer = 0;
   bool cancelled = false;
   bool settled = false;
@@ -45,7 +45,7 @@
   World *world = nullptr;
   mt_once *once = nullptr;
   mt_once_call call = {};
-  mt_pace pace = {};
+  mt_token_bucket pace = {};
   enum
   {
     IDLE,
@@ -84,7 +84,7 @@
   }
 
   static void
-  settled (void *, struct mt_once_ask *settled)
+  settled (void *, struct mt_once_request *settled)
   {
     auto *ask = static_cast<Ask *> (settled->owner);
     World *world = current;
@@ -118,8 +118,8 @@
     writer.pace.burst = 1000;
     options.clock = clock;
     options.writer = ++next_id;
-    options.keep_us = kKeepUs;
-    options.pace = &writer.pace;
+    options.retention_us = kKeepUs;
+    options.write_limit = &writer.pace;
     options.settled = settled;
     writer.once = mt_once_create (&options);
   }
@@ -158,9 +158,9 @@
     ask->ask.key[0] = key;
     ask->ask.key[1] = 1;
     ask->ask.attempt[0] = ++next_id;
-    ask->ask.hold_ms = 5000;
+    ask->ask.holder_timeout_ms = 5000;
     ask->ask.owner = ask.get ();
-    mt_once_ask (writers[w].once, &ask->ask);
+    mt_once_request (writers[w].once, &ask->ask);
     asks.push_back (std::move (ask));
     return *asks.back ();
   }
@@ -174,16 +174,16 @@
     switch (writer.phase)
       {
       case Writer::IDLE:
-        if (!mt_once_next (writer.once, &writer.call, &wake_us))
+        if (!mt_once_next_call (writer.once, &writer.call, &wake_us))
           return false;
         writer.phase = Writer::PLANNED;
         return true;
       case Writer::PLANNED:
-        mt_once_perform (fake_store_store (fake), &writer.call);
+        mt_once_perform_call (fake_store_store (fake), &writer.call);
         writer.phase = Writer::PERFORMED;
         return true;
       case Writer::PERFORMED:
-        mt_once_absorb (writer.once, &writer.call);
+        mt_once_handle_result (writer.once, &writer.call);
         writer.phase = Writer::IDLE;
         return true;
       }
--- a/tests/once/test_once.c
+++ b/tests/once/test_once.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 
 #define KEEP_US    (60 * MT_SECOND)
-#define EXPIRES_US (KEEP_US + 5 * MT_ONCE_SKEW_US)
+#define EXPIRES_US (KEEP_US + 5 * MT_ONCE_MAX_CLOCK_SKEW_US)
 #define BLOCK      100
 
 struct fixture
@@ -20,7 +20,7 @@
   struct mt_clock clock; /* the manual one, with a wall clock that can jump */
   int64_t wall_ahead_us;
   struct fake_store *fake;
-  struct mt_pace pace;
+  struct mt_token_bucket pace;
   struct mt_once *a;
   struct mt_once *b;
 };
@@ -48,7 +48,7 @@
 create_writer (struct fixture *f, uint64_t writer)
 {
   struct mt_once_options options
-      = { .clock = &f->clock, .writer = writer, .keep_us = KEEP_US, .pace = &f->pace };
+      = { .clock = &f->clock, .writer = writer, .retention_us = KEEP_US, .write_limit = &f->pace };
 
   return mt_once_create (&options);
 }
@@ -61,7 +61,7 @@
   f->manual = mt_clock_manual_create (1000 * MT_SECOND);
   f->clock = (struct mt_clock){ .ops = &jumping_clock, .ctx = f };
   f->fake = fake_store_create (mt_clock_manual_clock (f->manual));
-  f->pace = (struct mt_pace){ .interval_us = 1, .burst = 1000 };
+  f->pace = (struct mt_token_bucket){ .interval_us = 1, .burst = 1000 };
   f->a = create_writer (f, 1);
   f->b = create_writer (f, 2);
   *state = f;
@@ -81,10 +81,12 @@
   return 0;
 }
 
-static struct mt_once_ask
+static struct mt_once_request
 make_ask (uint64_t key, uint64_t attempt)
 {
-  return (struct mt_once_ask){ .key = { key, 1 }, .attempt = { attempt, 1 }, .hold_ms = 1000 };
+  return (struct mt_once_request){ .key = { key, 1 },
+                                   .attempt = { attempt, 1 },
+                                   .holder_timeout_ms = 1000 };
 }
 
 static void
@@ -93,19 +95,19 @@
   struct mt_once_call call;
   int64_t wake_us;
 
-  while (mt_once_next (once, &call, &wake_us))
+  while (mt_once_next_call (once, &call, &wake_us))
     {
-      mt_once_perform (fake_store_store (f->fake), &call);
-      mt_once_absorb (once, &call);
+      mt_once_perform_call (fake_store_store (f->fake), &call);
+      mt_once_handle_result (once, &call);
     }
 }
 
 static enum mt_once_result
 take (struct fixture *f, struct mt_once *once, uint64_t key, uint64_t attempt)
 {
-  struct mt_once_ask ask = make_ask (key, attempt);
+  struct mt_once_request ask = make_ask (key, attempt);
 
-  mt_once_ask (once, &ask);
+  mt_once_request (once, &ask);
   run (f, once);
   mt_once_cancel (once, &ask);
   return ask.result;
@@ -119,11 +121,11 @@
 
   for (;;)
     {
-      assert_true (mt_once_next (once, call, &wake_us));
+      assert_true (mt_once_next_call (once, call, &wake_us));
       if (call->kind == MT_ONCE_CALL_WRITE)
         return;
-      mt_once_perform (fake_store_store (f->fake), call);
-      mt_once_absorb (once, call);
+      mt_once_perform_call (fake_store_store (f->fake), call);
+      mt_once_handle_result (once, call);
     }
 }
 
@@ -134,14 +136,14 @@
 test_two_writers_race (void **state)
 {
   struct fixture *f = *state;
-  struct mt_once_ask ask = make_ask (7, 70);
+  struct mt_once_request ask = make_ask (7, 70);
   struct mt_once_call call;
 
-  mt_once_ask (f->a, &ask);
+  mt_once_request (f->a, &ask);
   stop_before_write (f, f->a, &call);
   assert_int_equal (take (f, f->b, 7, 71), MT_ONCE_GRANTED);
-  mt_once_perform (fake_store_store (f->fake), &call);
-  mt_once_absorb (f->a, &call);
+  mt_once_perform_call (fake_store_store (f->fake), &call);
+  mt_once_handle_result (f->a, &call);
   run (f, f->a);
   assert_int_equal (ask.result, MT_ONCE_RUNNING);
 }
@@ -152,9 +154,9 @@
 test_lost_answer_is_read_back (void **state)
 {
   struct fixture *f = *state;
-  struct mt_once_ask ask = make_ask (7, 70);
+  struct mt_once_request ask = make_ask (7, 70);
 
-  mt_once_ask (f->a, &ask);
+  mt_once_request (f->a, &ask);
   fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
   run (f, f->a);
   mt_clock_manual_advance (f->manual, MT_SECOND);
@@ -169,9 +171,9 @@
 test_late_write_of_a_refused_claim_is_released (void **state)
 {
   struct fixture *f = *state;
-  struct mt_once_ask ask = make_ask (7, 70);
+  struct mt_once_request ask = make_ask (7, 70);
 
-  mt_once_ask (f->a, &ask);
+  mt_once_request (f->a, &ask);
   fake_store_fault_next (f->fake, FAKE_FAULT_LATE, 1, true);
   run (f, f->a);
   mt_once_cancel (f->a, &ask);
@@ -207,13 +209,13 @@
   struct fixture *f = *state;
   const uint64_t key[2] = { 7, 1 };
   const uint64_t attempt[2] = { 70, 1 };
-  struct mt_once_ask ask = make_ask (7, 72);
+  struct mt_once_request ask = make_ask (7, 72);
 
   take (f, f->a, 7, 70);
   mt_once_end (f->a, key, attempt, MT_ONCE_END_DONE, 201);
   mt_clock_manual_advance (f->manual, MT_SECOND);
   run (f, f->a);
-  mt_once_ask (f->b, &ask);
+  mt_once_request (f->b, &ask);
   run (f, f->b);
   assert_int_equal (ask.result, MT_ONCE_DONE);
   assert_int_equal (ask.status, 201);
@@ -243,16 +245,16 @@
 test_writer_paused_past_a_trim_is_refused (void **state)
 {
   struct fixture *f = *state;
-  struct mt_once_ask ask = make_ask (7, 70);
+  struct mt_once_request ask = make_ask (7, 70);
   struct mt_once_call call;
 
-  mt_once_ask (f->a, &ask);
+  mt_once_request (f->a, &ask);
   stop_before_write (f, f->a, &call);
   fill_and_trim (f, f->b);
   assert_int_equal (take (f, f->b, 7, 71), MT_ONCE_GRANTED);
-  mt_once_perform (fake_store_store (f->fake), &call);
+  mt_once_perform_call (fake_store_store (f->fake), &call);
   assert_int_equal (call.put, MT_STORE_DONE);
-  mt_once_absorb (f->a, &call);
+  mt_once_handle_result (f->a, &call);
   assert_int_equal (ask.result, MT_ONCE_UNAVAILABLE);
   assert_int_equal (take (f, f->a, 7, 72), MT_ONCE_RUNNING);
 }
@@ -298,7 +300,7 @@
   f->wall_ahead_us = 24 * 3600 * MT_SECOND;
   assert_int_equal (take (f, f->a, 7, 70), MT_ONCE_GRANTED);
   assert_int_equal (fake_store_count (f->fake, MT_ONCE_PREFIX), BLOCK + 6);
-  mt_clock_manual_advance (f->manual, 2 * MT_ONCE_FRESH_US + MT_SECOND);
+  mt_clock_manual_advance (f->manual, 2 * MT_ONCE_MAX_VIEW_AGE_US + MT_SECOND);
   run (f, f->a);
   assert_true (fake_store_count (f->fake, MT_ONCE_PREFIX) < BLOCK);
 }
@@ -331,11 +333,11 @@
   const struct mt_record released
       = { .kind = MT_RECORD_RELEASE, .key = { 7, 1 }, .attempt = { 70, 1 } };
   const uint64_t attempt[2] = { 71, 1 };
-  struct mt_once_ask ask = make_ask (7, 70);
+  struct mt_once_request ask = make_ask (7, 70);
 
   assert_int_equal (take (f, f->a, 5, 50), MT_ONCE_GRANTED);
-  mt_once_ask (f->a, &ask);
-  mt_once_record (f->b, &released);
+  mt_once_request (f->a, &ask);
+  mt_once_add_end (f->b, &released);
   assert_int_equal (take (f, f->b, 7, 71), MT_ONCE_GRANTED);
   mt_once_end (f->b, released.key, attempt, MT_ONCE_END_RELEASED, 0);
   mt_clock_manual_advance (f->manual, MT_SECOND);
@@ -353,7 +355,7 @@
 
   fake_store_force (f->fake, MT_ONCE_PREFIX "000/000000000000", "not a batch");
   assert_int_equal (take (f, f->a, 7, 70), MT_ONCE_UNAVAILABLE);
-  assert_non_null (mt_once_fault (f->a));
+  assert_non_null (mt_once_read_error (f->a));
   fake_store_force (f->fake, MT_ONCE_PREFIX "000/000000000000", NULL);
   mt_clock_manual_advance (f->manual, 2 * MT_SECOND);
   assert_int_equal (take (f, f->a, 7, 71), MT_ONCE_GRANTED);
@@ -367,14 +369,14 @@
 test_many_claims_ride_in_one_write (void **state)
 {
   struct fixture *f = *state;
-  struct mt_once_ask asks[50];
+  struct mt_once_request asks[50];
 
-  f->pace = (struct mt_pace){ .interval_us = MT_SECOND, .burst = 1 };
+  f->pace = (struct mt_token_bucket){ .interval_us = MT_SECOND, .burst = 1 };
   assert_int_equal (take (f, f->a, 999, 1), MT_ONCE_GRANTED);
   for (uint64_t i = 0; i < G_N_ELEMENTS (asks); i++)
     {
       asks[i] = make_ask (i, i + 100);
-      mt_once_ask (f->a, &asks[i]);
+      mt_once_request (f->a, &asks[i]);
       run (f, f->a);
     }
   assert_int_equal (asks[0].result, MT_ONCE_PENDING);
@@ -389,9 +391,9 @@
 {
   struct fixture *f = *state;
 
-  mt_once_set_room (f->a, 1);
+  mt_once_set_free_capacity (f->a, 1);
   assert_int_equal (take (f, f->a, 1, 1), MT_ONCE_GRANTED);
-  mt_once_set_room (f->a, 0);
+  mt_once_set_free_capacity (f->a, 0);
   assert_int_equal (take (f, f->a, 2, 2), MT_ONCE_UNAVAILABLE);
   assert_int_equal (take (f, f->b, 2, 3), MT_ONCE_GRANTED);
 }
@@ -434,7 +436,7 @@
   assert_false (mt_once_key_date (MT_STR ("invoice-4711"), &date));
   assert_false (mt_once_date_expired (date, date + hour - 1, hour));
   assert_true (mt_once_date_expired (date, date + hour, hour));
-  assert_true (mt_once_date_expired (date, date - MT_ONCE_SKEW_US - 1, hour));
+  assert_true (mt_once_date_expired (date, date - MT_ONCE_MAX_CLOCK_SKEW_US - 1, hour));
 }
 
 int
--- a/tests/path/prop_dispatch.cpp
+++ b/tests/path/prop_dispatch.cpp
@@ -57,7 +57,7 @@
   RC_ASSERT (mt_dispatch_in_flight (world->dispatch, name)
              <= mt_share_with_borrowed (world->share, kSlots, 0, 0) + 1);
   RC_ASSERT (mt_dispatch_in_flight (world->dispatch, name)
-             <= mt_dispatch_usable (world->dispatch, name));
+             <= mt_dispatch_usable_slots (world->dispatch, name));
   RC_ASSERT (call->ticket.deadline_us > mt_clock_now (mt_clock_manual_clock (world->manual)));
 }
 
@@ -113,20 +113,20 @@
   call->world = &world;
   call->ticket.owner = call.get ();
   call->ticket.audience = audience;
-  call->ticket.again = again;
+  call->ticket.is_retry = again;
   call->ticket.deadline_us
       = mt_clock_now (mt_clock_manual_clock (world.manual)) + within_ms * MT_MS;
-  switch (mt_dispatch_ask (world.dispatch, &call->ticket, kQueue))
+  switch (mt_dispatch_submit (world.dispatch, &call->ticket, kQueue))
     {
-    case MT_ADMIT_RUN:
+    case MT_ADMISSION_GRANTED:
       check_grant (call.get ());
       break;
-    case MT_ADMIT_REFUSE:
+    case MT_ADMISSION_REFUSED:
       RC_ASSERT (call->ticket.refusal != MT_REFUSAL_NONE);
       call->state = State::Ended;
       call->answers++;
       break;
-    case MT_ADMIT_WAIT:
+    case MT_ADMISSION_QUEUED:
       break;
     }
   world.calls.push_back (std::move (call));
@@ -151,8 +151,8 @@
   if (call == nullptr)
     return;
   call->state = State::Ended;
-  mt_dispatch_done (world.dispatch, &call->ticket,
-                    static_cast<mt_dispatch_result> (result % (MT_DISPATCH_UNUSED + 1)));
+  mt_dispatch_complete (world.dispatch, &call->ticket,
+                        static_cast<mt_dispatch_result> (result % (MT_DISPATCH_UNUSED + 1)));
 }
 
 void
@@ -212,7 +212,7 @@
       RC_ASSERT (call->answers == (call->state == State::Waiting ? 0U : 1U));
     }
   RC_ASSERT (mt_dispatch_in_flight (world.dispatch, nullptr) == running);
-  RC_ASSERT (mt_dispatch_waiting (world.dispatch) == waiting);
+  RC_ASSERT (mt_dispatch_queue_length (world.dispatch) == waiting);
   RC_ASSERT (waiting <= kQueue);
 }
 
@@ -223,9 +223,9 @@
   mt_clock_manual_advance (world.manual, 300 * MT_MS);
   mt_dispatch_tick (world.dispatch);
   while (nth (world, State::Running, 0) != nullptr)
-    finish (world, 0, MT_DISPATCH_GOOD);
+    finish (world, 0, MT_DISPATCH_SUCCESS);
   check_conserved (world);
-  RC_ASSERT (mt_dispatch_waiting (world.dispatch) == 0U);
+  RC_ASSERT (mt_dispatch_queue_length (world.dispatch) == 0U);
 }
 
 bool
@@ -266,7 +266,7 @@
     for (unsigned i = 0; i < items.size (); i++)
       {
         items[i].audience = i < flood ? 0 : 1 + i - flood;
-        items[i].give_up_us = INT64_MAX;
+        items[i].expires_us = INT64_MAX;
         mt_fair_queue_push (queue, &items[i]);
       }
     for (unsigned i = 0; i <= audiences; i++)
@@ -295,7 +295,7 @@
     for (unsigned i = 1; i <= quiet; i++)
       ask (world, i, 10000, false);
     for (unsigned i = 0; i <= quiet; i++)
-      finish (world, 0, MT_DISPATCH_GOOD);
+      finish (world, 0, MT_DISPATCH_SUCCESS);
     for (auto &call : world.calls)
       served += call->ticket.audience != 0 && call->state == State::Running ? 1 : 0;
     RC_ASSERT (served == quiet);
--- a/tests/path/test_dispatch.c
+++ b/tests/path/test_dispatch.c
@@ -83,12 +83,12 @@
   return 0;
 }
 
-static enum mt_admit
+static enum mt_dispatch_admission
 ask (struct fixture *f, struct mt_ticket *ticket, uint64_t audience, int64_t within_us)
 {
   *ticket = (struct mt_ticket){ .audience = audience };
   ticket->deadline_us = mt_clock_now (mt_clock_manual_clock (f->manual)) + within_us;
-  return mt_dispatch_ask (f->dispatch, ticket, 1000);
+  return mt_dispatch_submit (f->dispatch, ticket, 1000);
 }
 
 static void
@@ -96,9 +96,9 @@
 {
   struct mt_ticket ticket;
 
-  assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMIT_RUN);
+  assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
   mt_clock_manual_advance (f->manual, took_us);
-  mt_dispatch_done (f->dispatch, &ticket, result);
+  mt_dispatch_complete (f->dispatch, &ticket, result);
 }
 
 static struct mt_ticket *
@@ -107,7 +107,7 @@
   struct mt_ticket *tickets = g_new0 (struct mt_ticket, n);
 
   for (unsigned i = 0; i < n; i++)
-    assert_int_equal (ask (f, &tickets[i], 1, 10 * MT_SECOND), MT_ADMIT_RUN);
+    assert_int_equal (ask (f, &tickets[i], 1, 10 * MT_SECOND), MT_ADMISSION_GRANTED);
   return tickets;
 }
 
@@ -121,14 +121,14 @@
   struct mt_ticket waiting[MINIONS * SLOTS];
   struct mt_ticket late;
 
-  run (f, 100 * MT_MS, MT_DISPATCH_GOOD);
+  run (f, 100 * MT_MS, MT_DISPATCH_SUCCESS);
   busy = fill (f, MINIONS * SLOTS);
   assert_non_null (busy);
   for (size_t i = 0; i < G_N_ELEMENTS (waiting); i++)
-    assert_int_equal (ask (f, &waiting[i], 1, MT_SECOND), MT_ADMIT_WAIT);
-  assert_int_equal (ask (f, &late, 1, 120 * MT_MS), MT_ADMIT_REFUSE);
-  assert_int_equal (late.refusal, MT_REFUSAL_TOO_LATE);
-  assert_int_equal (ask (f, &late, 2, 120 * MT_MS), MT_ADMIT_WAIT);
+    assert_int_equal (ask (f, &waiting[i], 1, MT_SECOND), MT_ADMISSION_QUEUED);
+  assert_int_equal (ask (f, &late, 1, 120 * MT_MS), MT_ADMISSION_REFUSED);
+  assert_int_equal (late.refusal, MT_REFUSAL_DEADLINE);
+  assert_int_equal (ask (f, &late, 2, 120 * MT_MS), MT_ADMISSION_QUEUED);
 }
 
 /* Work takes 50 or 150 ms. A waiter of 1 s deadline that has no slot after 900 ms could be answered
@@ -142,17 +142,17 @@
   struct mt_ticket waiting;
 
   for (int i = 0; i < 100; i++)
-    run (f, (i % 2 == 0 ? 50 : 150) * MT_MS, MT_DISPATCH_GOOD);
+    run (f, (i % 2 == 0 ? 50 : 150) * MT_MS, MT_DISPATCH_SUCCESS);
   busy = fill (f, MINIONS * SLOTS);
   assert_non_null (busy);
-  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMIT_WAIT);
+  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_clock_manual_advance (f->manual, 700 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (expired, 0);
   mt_clock_manual_advance (f->manual, 200 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (expired, 1);
-  assert_int_equal (waiting.refusal, MT_REFUSAL_TOO_LATE);
+  assert_int_equal (waiting.refusal, MT_REFUSAL_DEADLINE);
 }
 
 /* The operator drains the whole pool while a caller waits for a slot. Those in flight end later,
@@ -166,11 +166,11 @@
   struct mt_ticket late;
 
   assert_non_null (busy);
-  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMIT_WAIT);
+  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_dispatch_update (f->dispatch, NULL, 0);
   assert_int_equal (expired, 1);
   assert_int_equal (waiting.refusal, MT_REFUSAL_NO_MINION);
-  assert_int_equal (ask (f, &late, 1, MT_SECOND), MT_ADMIT_REFUSE);
+  assert_int_equal (ask (f, &late, 1, MT_SECOND), MT_ADMISSION_REFUSED);
   assert_int_equal (late.refusal, MT_REFUSAL_NO_MINION);
 }
 
@@ -184,13 +184,13 @@
   struct mt_ticket head[2 * MINIONS * SLOTS];
 
   for (int i = 0; i < 50; i++)
-    run (f, 20 * MT_MS, MT_DISPATCH_GOOD);
-  run (f, 5 * MT_SECOND, MT_DISPATCH_GOOD);
+    run (f, 20 * MT_MS, MT_DISPATCH_SUCCESS);
+  run (f, 5 * MT_SECOND, MT_DISPATCH_SUCCESS);
   mt_clock_manual_advance (f->manual, 600 * MT_SECOND);
   busy = fill (f, MINIONS * SLOTS);
   assert_non_null (busy);
   for (size_t i = 0; i < G_N_ELEMENTS (head); i++)
-    assert_int_equal (ask (f, &head[i], 1, 200 * MT_MS), MT_ADMIT_WAIT);
+    assert_int_equal (ask (f, &head[i], 1, 200 * MT_MS), MT_ADMISSION_QUEUED);
 }
 
 /* Sends n requests one by one, m2 failing in 10 us; how many it got. */
@@ -204,11 +204,12 @@
       struct mt_ticket ticket;
       bool sick;
 
-      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMIT_RUN);
+      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
       sick = strcmp (ticket.minion, "m2") == 0;
       on_sick += sick ? 1 : 0;
       mt_clock_manual_advance (f->manual, sick ? 10 : MT_MS);
-      mt_dispatch_done (f->dispatch, &ticket, sick ? MT_DISPATCH_BAD : MT_DISPATCH_GOOD);
+      mt_dispatch_complete (f->dispatch, &ticket,
+                            sick ? MT_DISPATCH_SERVER_ERROR : MT_DISPATCH_SUCCESS);
     }
   return on_sick;
 }
@@ -237,14 +238,14 @@
                                     &mt_balance_round_robin, 1);
   put_minions (f, MINIONS);
   assert_in_range (run_with_sick_minion (f, 4000), 5, 10);
-  assert_int_equal (mt_dispatch_ejected (f->dispatch), 1);
+  assert_int_equal (mt_dispatch_ejected_count (f->dispatch), 1);
   mt_clock_manual_advance (f->manual, 60 * MT_SECOND);
   mt_dispatch_tick (f->dispatch);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, "m2"), 1);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m2"), 1);
   for (int i = 0; i < 200; i++)
-    run (f, MT_MS, MT_DISPATCH_GOOD);
-  assert_int_equal (mt_dispatch_ejected (f->dispatch), 0);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, "m2"), SLOTS);
+    run (f, MT_MS, MT_DISPATCH_SUCCESS);
+  assert_int_equal (mt_dispatch_ejected_count (f->dispatch), 0);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m2"), SLOTS);
 }
 
 /* Every minion goes bad, one after the other, so that each looks worse than the rest. Half stay in:
@@ -256,10 +257,10 @@
 
   for (int i = 0; i < 200; i++)
     run (f, MT_MS, MT_DISPATCH_NOT_SENT);
-  assert_in_range (mt_dispatch_ejected (f->dispatch), 0, MINIONS / 2);
-  assert_true (mt_dispatch_usable (f->dispatch, NULL) > 0);
+  assert_in_range (mt_dispatch_ejected_count (f->dispatch), 0, MINIONS / 2);
+  assert_true (mt_dispatch_usable_slots (f->dispatch, NULL) > 0);
   put_minions (f, 1);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, NULL), SLOTS);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), SLOTS);
 }
 
 /* A minion refuses: another daemon's requests fill it. This daemon leaves it alone for a moment and
@@ -273,17 +274,17 @@
 
   put_minions (f, 1);
   mt_dispatch_set_share (f->dispatch, (struct mt_share){ 4, 0 }, NULL, NULL);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, NULL), 2 + 3);
-  assert_int_equal (ask (f, &first, 1, MT_SECOND), MT_ADMIT_RUN);
-  mt_dispatch_done (f->dispatch, &first, MT_DISPATCH_REFUSED);
-  assert_int_equal (ask (f, &second, 1, MT_SECOND), MT_ADMIT_WAIT);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), 2 + 3);
+  assert_int_equal (ask (f, &first, 1, MT_SECOND), MT_ADMISSION_GRANTED);
+  mt_dispatch_complete (f->dispatch, &first, MT_DISPATCH_REFUSED);
+  assert_int_equal (ask (f, &second, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_clock_manual_advance (f->manual, 20 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (granted, 1);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, NULL), 2);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), 2);
   mt_clock_manual_advance (f->manual, MT_SECOND);
   mt_dispatch_tick (f->dispatch);
-  assert_int_equal (mt_dispatch_usable (f->dispatch, NULL), 2 + 3);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), 2 + 3);
 }
 
 /* A minion says that it leaves. It gets nothing more, whatever the tables that are read later say,
@@ -300,12 +301,12 @@
     {
       struct mt_ticket ticket;
 
-      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMIT_RUN);
+      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
       assert_string_not_equal (ticket.minion, "m1");
-      mt_dispatch_done (f->dispatch, &ticket, MT_DISPATCH_GOOD);
+      mt_dispatch_complete (f->dispatch, &ticket, MT_DISPATCH_SUCCESS);
     }
   mt_dispatch_rejoin (f->dispatch, "m1");
-  assert_int_equal (mt_dispatch_usable (f->dispatch, "m1"), SLOTS);
+  assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m1"), SLOTS);
 }
 
 /* Everything fails and every failed request is tried again. The retries end after the budget: the
@@ -318,13 +319,13 @@
 
   for (int i = 0; i < 1000; i++)
     {
-      struct mt_ticket ticket = { .audience = 1, .again = true, .deadline_us = INT64_MAX };
+      struct mt_ticket ticket = { .audience = 1, .is_retry = true, .deadline_us = INT64_MAX };
 
       run (f, MT_MS, MT_DISPATCH_LOST);
-      if (mt_dispatch_ask (f->dispatch, &ticket, 10) == MT_ADMIT_RUN)
+      if (mt_dispatch_submit (f->dispatch, &ticket, 10) == MT_ADMISSION_GRANTED)
         {
           retried++;
-          mt_dispatch_done (f->dispatch, &ticket, MT_DISPATCH_LOST);
+          mt_dispatch_complete (f->dispatch, &ticket, MT_DISPATCH_LOST);
         }
       else
         assert_int_equal (ticket.refusal, MT_REFUSAL_RETRY_BUDGET);
