--- a/core/base/breaker.c
+++ b/core/base/breaker.c
@@ -68,14 +68,14 @@
 static void
 open_for_a_while (struct mt_breaker *breaker)
 {
-  int64_t first = breaker->options.first_us;
+  int64_t first = breaker->options.min_pause_us;
   double most = (double) MAX (breaker->pause_us * 3, first * 2);
 
   if (!breaker->open)
     breaker->counts.opened++;
   breaker->open = true;
   breaker->pause_us = (int64_t) g_rand_double_range (breaker->rand, (double) first, most);
-  breaker->pause_us = MIN (breaker->pause_us, breaker->options.longest_us);
+  breaker->pause_us = MIN (breaker->pause_us, breaker->options.max_pause_us);
   breaker->probe_us = mt_clock_now (breaker->options.clock) + breaker->pause_us;
 }
 
@@ -91,13 +91,13 @@
       breaker->open = false;
       breaker->pause_us = 0;
     }
-  else if (probe || (!breaker->open && breaker->failures >= breaker->options.failures))
+  else if (probe || (!breaker->open && breaker->failures >= breaker->options.failure_threshold))
     open_for_a_while (breaker);
   g_mutex_unlock (&breaker->lock);
 }
 
 static bool
-put_is_answered (enum mt_store_put put)
+put_is_answered (enum mt_store_write_result put)
 {
   return put == MT_STORE_DONE || put == MT_STORE_CONFLICT;
 }
@@ -157,12 +157,12 @@
   return ok;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 breaker_put (void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error)
 {
   struct mt_breaker *breaker = ctx;
   const struct mt_store *inner = breaker->options.inner;
-  enum mt_store_put put;
+  enum mt_store_write_result put;
   bool probe;
 
   if (!enter (breaker, CALL_WRITE, &probe, error))
@@ -172,12 +172,12 @@
   return put;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 breaker_remove (void *ctx, const char *prefix, GError **error)
 {
   struct mt_breaker *breaker = ctx;
   const struct mt_store *inner = breaker->options.inner;
-  enum mt_store_put put;
+  enum mt_store_write_result put;
   bool probe;
 
   if (!enter (breaker, CALL_WRITE, &probe, error))
@@ -236,12 +236,12 @@
     leave (breaker, probe, false);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 breaker_acquire (void *ctx, const char *key, struct mt_str value, const char *lease, GError **error)
 {
   struct mt_breaker *breaker = ctx;
   const struct mt_store *inner = breaker->options.inner;
-  enum mt_store_put put;
+  enum mt_store_write_result put;
   bool probe;
 
   if (!enter (breaker, CALL_WRITE, &probe, error))
--- a/core/base/json_text.c
+++ b/core/base/json_text.c
@@ -1,7 +1,7 @@
 #include "medlartrack/json_text.h"
 
 void
-mt_json_append_text (GString *out, const char *text)
+mt_json_append_string (GString *out, const char *text)
 {
   g_string_append_c (out, '"');
   for (const char *c = text != NULL ? text : ""; *c != '\0'; c++)
--- a/core/config/acceptance.c
+++ b/core/config/acceptance.c
@@ -1,10 +1,10 @@
 #include "medlartrack/acceptance.h"
 
 enum mt_acceptance
-mt_acceptance_judge (const struct mt_tables *held, const struct mt_tables *offered)
+mt_acceptance_compare (const struct mt_tables *held, const struct mt_tables *offered)
 {
   if (held == NULL || offered->version > held->version)
-    return MT_ACCEPTANCE_TAKE;
+    return MT_ACCEPTANCE_NEWER;
   if (offered->version < held->version)
     return MT_ACCEPTANCE_OLDER;
   return mt_str_equal (held->id, offered->id) ? MT_ACCEPTANCE_SAME : MT_ACCEPTANCE_FORKED;
@@ -20,7 +20,7 @@
   if (!value->found)
     return true;
   now = mt_tables_parse ((struct mt_str){ value->data, value->len }, NULL);
-  older = now != NULL && mt_acceptance_judge (held, now) == MT_ACCEPTANCE_OLDER;
+  older = now != NULL && mt_acceptance_compare (held, now) == MT_ACCEPTANCE_OLDER;
   mt_tables_destroy (now);
   return older;
 }
@@ -38,7 +38,7 @@
     case MT_STORE_DONE:
       return MT_REPAIR_DONE;
     case MT_STORE_CONFLICT:
-      return MT_REPAIR_LOST;
+      return MT_REPAIR_CONFLICT;
     case MT_STORE_FAILED:
     case MT_STORE_UNKNOWN:
       break;
--- a/core/config/fields.c
+++ b/core/config/fields.c
@@ -10,7 +10,7 @@
 
 bool
 mt_fields_refuse (GError **error,
-                  struct mt_field_place place,
+                  struct mt_field_location place,
                   const char *key,
                   const json_t *found,
                   const char *remedy)
@@ -32,11 +32,11 @@
 read_text (const void *owner,
            const json_t *value,
            const struct mt_field *field,
-           struct mt_field_place place,
+           struct mt_field_location place,
            struct mt_str *out,
            GError **error)
 {
-  const struct mt_form *form = field->form != NULL ? field->form : &mt_form_text;
+  const struct mt_text_format *form = field->form != NULL ? field->form : &mt_text_format_line;
   size_t len = json_string_length (value);
 
   if (value == NULL)
@@ -58,7 +58,7 @@
 static bool
 read_number (const json_t *value,
              const struct mt_field *field,
-             struct mt_field_place place,
+             struct mt_field_location place,
              double *out,
              GError **error)
 {
@@ -77,7 +77,7 @@
 static bool
 read_choice (const json_t *value,
              const struct mt_field *field,
-             struct mt_field_place place,
+             struct mt_field_location place,
              int *out,
              GError **error)
 {
@@ -103,7 +103,7 @@
             void *row,
             const json_t *value,
             const struct mt_field *field,
-            struct mt_field_place place,
+            struct mt_field_location place,
             GError **error)
 {
   void *at = (char *) row + field->offset;
@@ -144,20 +144,20 @@
 
 static bool
 refuse_key (GError **error,
-            struct mt_field_place place,
+            struct mt_field_location place,
             const struct mt_field *fields,
             const char *const *nested,
             const char *name,
             const json_t *found)
 {
-  struct mt_nearest nearest;
+  struct mt_suggestion nearest;
   g_autofree char *remedy = NULL;
 
-  mt_nearest_start (&nearest, mt_str_from (name));
+  mt_suggestion_init (&nearest, mt_str_from (name));
   for (; fields->name != NULL; fields++)
-    mt_nearest_try (&nearest, mt_str_from (fields->name));
+    mt_suggestion_try (&nearest, mt_str_from (fields->name));
   for (; nested != NULL && *nested != NULL; nested++)
-    mt_nearest_try (&nearest, mt_str_from (*nested));
+    mt_suggestion_try (&nearest, mt_str_from (*nested));
   if (nearest.best.data != NULL)
     remedy = g_strdup_printf ("no such key; did you mean \"%s\"?", nearest.best.data);
   return mt_fields_refuse (error, place, name, found,
@@ -170,7 +170,7 @@
                 const json_t *object,
                 const struct mt_field *fields,
                 const char *const *nested,
-                struct mt_field_place place,
+                struct mt_field_location place,
                 GError **error)
 {
   const char *name;
@@ -228,7 +228,7 @@
 }
 
 json_t *
-mt_fields_load (struct mt_str json, struct mt_field_place place, GError **error)
+mt_fields_load (struct mt_str json, struct mt_field_location place, GError **error)
 {
   json_error_t at;
   json_t *root = json_loadb (json.data, json.len, JSON_REJECT_DUPLICATES, &at);
--- a/core/config/fields.h
+++ b/core/config/fields.h
@@ -24,15 +24,15 @@
   enum mt_field_kind kind;
   size_t offset;
   bool required;
-  double min, max;            /* of counts and weights */
-  double fallback;            /* of counts, weights and choices */
-  const char *text;           /* fallback of texts */
-  const char *const *choices; /* ends with NULL */
-  const struct mt_form *form; /* of texts; NULL for any printable line */
+  double min, max;                   /* of counts and weights */
+  double fallback;                   /* of counts, weights and choices */
+  const char *text;                  /* fallback of texts */
+  const char *const *choices;        /* ends with NULL */
+  const struct mt_text_format *form; /* of texts; NULL for any printable line */
 };
 
 /* Where an object stands, for messages: "table pools, row \"x\"" or "settings". */
-struct mt_field_place
+struct mt_field_location
 {
   enum mt_error code;
   const char *where;
@@ -45,18 +45,18 @@
                      const json_t *object,
                      const struct mt_field *fields,
                      const char *const *nested,
-                     struct mt_field_place place,
+                     struct mt_field_location place,
                      GError **error);
 json_t *mt_fields_write (const void *row, const struct mt_field *fields);
 
 /* Sets an error that names place, key, the value found and the remedy; always false. */
 bool mt_fields_refuse (GError **error,
-                       struct mt_field_place place,
+                       struct mt_field_location place,
                        const char *key,
                        const json_t *found,
                        const char *remedy);
 
 /* Parses a text that must be one JSON object without duplicate keys. */
-json_t *mt_fields_load (struct mt_str json, struct mt_field_place place, GError **error);
+json_t *mt_fields_load (struct mt_str json, struct mt_field_location place, GError **error);
 
 #endif
--- a/core/config/forms.c
+++ b/core/config/forms.c
@@ -100,19 +100,19 @@
   return text.data[0] == '/';
 }
 
-const struct mt_form mt_form_text
+const struct mt_text_format mt_text_format_line
     = { "text", "write one line of UTF-8 without control characters", accepts_text };
-const struct mt_form mt_form_name
+const struct mt_text_format mt_text_format_name
     = { "name", "write letters, digits, \".\", \"_\" and \"-\", no \".\" first", accepts_name };
-const struct mt_form mt_form_address
+const struct mt_text_format mt_text_format_address
     = { "address", "write IP:PORT by number, port 1 to 65535, such as 10.0.0.7:8080",
         accepts_address };
-const struct mt_form mt_form_listen
+const struct mt_text_format mt_text_format_listen
     = { "listen", "write IP:PORT by number, port 0 to 65535, such as 10.0.0.7:8080",
         accepts_listen };
-const struct mt_form mt_form_method
+const struct mt_text_format mt_text_format_method
     = { "method", "write a method in capitals, such as GET, or \"*\" for any", accepts_method };
-const struct mt_form mt_form_header
+const struct mt_text_format mt_text_format_header
     = { "header", "write the name of an HTTP header, such as X-Audience", accepts_header };
-const struct mt_form mt_form_path
+const struct mt_text_format mt_text_format_path
     = { "path", "start it with \"/\" and leave out blanks, \"?\" and \"#\"", accepts_path };
--- a/core/config/nearest.c
+++ b/core/config/nearest.c
@@ -31,7 +31,7 @@
 }
 
 void
-mt_nearest_start (struct mt_nearest *nearest, struct mt_str wanted)
+mt_suggestion_init (struct mt_suggestion *nearest, struct mt_str wanted)
 {
   nearest->wanted = wanted;
   nearest->best = (struct mt_str){ NULL, 0 };
@@ -40,7 +40,7 @@
 }
 
 void
-mt_nearest_try (struct mt_nearest *nearest, struct mt_str candidate)
+mt_suggestion_try (struct mt_suggestion *nearest, struct mt_str candidate)
 {
   unsigned distance = edit_distance (nearest->wanted, candidate);
 
--- a/core/config/nearest.h
+++ b/core/config/nearest.h
@@ -4,14 +4,14 @@
 
 #include "medlartrack/str.h"
 
-struct mt_nearest
+struct mt_suggestion
 {
   struct mt_str wanted;
   struct mt_str best; /* data is NULL while none is near enough */
   unsigned distance;
 };
 
-void mt_nearest_start (struct mt_nearest *nearest, struct mt_str wanted);
-void mt_nearest_try (struct mt_nearest *nearest, struct mt_str candidate);
+void mt_suggestion_init (struct mt_suggestion *nearest, struct mt_str wanted);
+void mt_suggestion_try (struct mt_suggestion *nearest, struct mt_str candidate);
 
 #endif
--- a/core/config/settings.c
+++ b/core/config/settings.c
@@ -11,16 +11,17 @@
 
 static const struct mt_field settings_fields[] = {
   { "name", MT_FIELD_TEXT, offsetof (struct mt_settings, name), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "zone", MT_FIELD_TEXT, offsetof (struct mt_settings, zone), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "listen", MT_FIELD_TEXT, offsetof (struct mt_settings, listen), .required = true,
-    .form = &mt_form_listen },
+    .form = &mt_text_format_listen },
   { "peer_listen", MT_FIELD_TEXT, offsetof (struct mt_settings, peer_listen), .required = true,
-    .form = &mt_form_listen },
+    .form = &mt_text_format_listen },
   { "platform", MT_FIELD_TEXT, offsetof (struct mt_settings, platform), .required = true,
-    .form = &mt_form_address },
-  { "workers", MT_FIELD_TEXT, offsetof (struct mt_settings, workers), .form = &mt_form_address },
+    .form = &mt_text_format_address },
+  { "workers", MT_FIELD_TEXT, offsetof (struct mt_settings, workers),
+    .form = &mt_text_format_address },
   { "log", MT_FIELD_CHOICE, offsetof (struct mt_settings, log), .choices = log_choices },
   { "log_level", MT_FIELD_CHOICE, offsetof (struct mt_settings, log_level), .fallback = 1,
     .choices = log_level_choices },
@@ -47,13 +48,13 @@
 read_peer (struct mt_settings *settings,
            size_t index,
            const json_t *peer,
-           struct mt_field_place place,
+           struct mt_field_location place,
            GError **error)
 {
   struct mt_str text = { json_string_value (peer), json_string_length (peer) };
 
-  if (!json_is_string (peer) || !mt_form_address.accepts (text))
-    return mt_fields_refuse (error, place, "peers", peer, mt_form_address.remedy);
+  if (!json_is_string (peer) || !mt_text_format_address.accepts (text))
+    return mt_fields_refuse (error, place, "peers", peer, mt_text_format_address.remedy);
   for (size_t i = 0; i < index; i++)
     if (mt_str_equal (settings->peers[i], text))
       return mt_fields_refuse (error, place, "peers", peer, "it stands twice; remove one");
@@ -65,7 +66,7 @@
 static bool
 read_peers (struct mt_settings *settings,
             const json_t *list,
-            struct mt_field_place place,
+            struct mt_field_location place,
             GError **error)
 {
   if (list == NULL)
@@ -83,7 +84,7 @@
 
 /* Callers and peers speak different protocols, so one port can't serve both. */
 static bool
-check_listeners (const struct mt_settings *settings, struct mt_field_place place, GError **error)
+check_listeners (const struct mt_settings *settings, struct mt_field_location place, GError **error)
 {
   json_t *found;
 
@@ -101,8 +102,8 @@
 read_settings (struct mt_settings *settings, const json_t *root, GError **error)
 {
   static const char *const nested[] = { "peers", "limits", NULL };
-  struct mt_field_place place = { MT_ERROR_SETTINGS, "settings" };
-  struct mt_field_place inner = { MT_ERROR_SETTINGS, "settings, limits" };
+  struct mt_field_location place = { MT_ERROR_SETTINGS, "settings" };
+  struct mt_field_location inner = { MT_ERROR_SETTINGS, "settings, limits" };
   json_t *limits = json_object_get (root, "limits");
   json_t *none = json_object ();
   bool ok = mt_fields_read (settings, settings, root, settings_fields, nested, place, error)
@@ -124,7 +125,7 @@
 struct mt_settings *
 mt_settings_parse (struct mt_str json, GError **error)
 {
-  struct mt_field_place place = { MT_ERROR_SETTINGS, "settings" };
+  struct mt_field_location place = { MT_ERROR_SETTINGS, "settings" };
   json_t *root = mt_fields_load (json, place, error);
   struct mt_settings *settings;
   bool ok;
--- a/core/config/tables.c
+++ b/core/config/tables.c
@@ -20,7 +20,7 @@
 }
 
 const struct mt_pool *
-mt_tables_pool (const struct mt_tables *tables, struct mt_str name)
+mt_tables_find_pool (const struct mt_tables *tables, struct mt_str name)
 {
   for (size_t i = 0; i < tables->n_pools; i++)
     if (mt_str_equal (tables->pools[i].name, name))
@@ -45,7 +45,7 @@
 }
 
 const struct mt_route *
-mt_tables_route (const struct mt_tables *tables, struct mt_str method, struct mt_str path)
+mt_tables_match_route (const struct mt_tables *tables, struct mt_str method, struct mt_str path)
 {
   const struct mt_route *best = NULL;
 
--- a/core/config/tables_change.c
+++ b/core/config/tables_change.c
@@ -303,8 +303,8 @@
   for (size_t i = 0; accepted != NULL && i < wanted->n_routes; i++)
     {
       const struct mt_route *route = &wanted->routes[i];
-      const struct mt_pool *was = mt_tables_pool (accepted, route->pool);
-      const struct mt_pool *is = mt_tables_pool (wanted, route->pool);
+      const struct mt_pool *was = mt_tables_find_pool (accepted, route->pool);
+      const struct mt_pool *is = mt_tables_find_pool (wanted, route->pool);
       g_autoptr (GHashTable) before = mt_tables_count_new ();
       g_autoptr (GHashTable) after = mt_tables_count_new ();
       GHashTableIter iter;
--- a/core/config/tables_check.c
+++ b/core/config/tables_check.c
@@ -103,12 +103,12 @@
 static bool
 refuse_dangling (const struct mt_tables *tables, const struct mt_route *route, GError **error)
 {
-  struct mt_nearest nearest;
+  struct mt_suggestion nearest;
   g_autofree char *remedy = NULL;
 
-  mt_nearest_start (&nearest, route->pool);
+  mt_suggestion_init (&nearest, route->pool);
   for (size_t i = 0; i < tables->n_pools; i++)
-    mt_nearest_try (&nearest, tables->pools[i].name);
+    mt_suggestion_try (&nearest, tables->pools[i].name);
   if (nearest.best.data != NULL)
     remedy = g_strdup_printf ("the pools table has no such row; did you mean \"%s\"?",
                               nearest.best.data);
--- a/core/config/tables_json.c
+++ b/core/config/tables_json.c
@@ -17,12 +17,12 @@
 static const struct mt_field route_fields[] = {
   { "route", MT_FIELD_TEXT, offsetof (struct mt_route, name), .required = true },
   { "method", MT_FIELD_TEXT, offsetof (struct mt_route, method), .text = "*",
-    .form = &mt_form_method },
+    .form = &mt_text_format_method },
   { "path", MT_FIELD_TEXT, offsetof (struct mt_route, path), .required = true,
-    .form = &mt_form_path },
+    .form = &mt_text_format_path },
   { "pool", MT_FIELD_TEXT, offsetof (struct mt_route, pool), .required = true },
   { "audience_header", MT_FIELD_TEXT, offsetof (struct mt_route, audience_header),
-    .text = "X-Audience", .form = &mt_form_header },
+    .text = "X-Audience", .form = &mt_text_format_header },
   { "repeat", MT_FIELD_CHOICE, offsetof (struct mt_route, repeat), .required = true,
     .choices = repeat_choices },
   { "deadline_ms", MT_FIELD_COUNT, offsetof (struct mt_route, deadline_ms), .min = 1, .max = 600000,
@@ -51,9 +51,9 @@
 static const struct mt_field instance_fields[] = {
   { "name", MT_FIELD_TEXT, offsetof (struct mt_instance, name), .required = true },
   { "address", MT_FIELD_TEXT, offsetof (struct mt_instance, address), .required = true,
-    .form = &mt_form_address },
+    .form = &mt_text_format_address },
   { "zone", MT_FIELD_TEXT, offsetof (struct mt_instance, zone), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "rack", MT_FIELD_TEXT, offsetof (struct mt_instance, rack), .required = true },
   { "slots", MT_FIELD_COUNT, offsetof (struct mt_instance, slots), .min = 1, .max = PLATFORM_SLOTS,
     .fallback = PLATFORM_SLOTS },
@@ -67,7 +67,7 @@
 
 static const struct mt_field team_fields[] = {
   { "team", MT_FIELD_TEXT, offsetof (struct mt_team_row, team), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "cpu_milli", MT_FIELD_COUNT, offsetof (struct mt_team_row, cpu_milli), .max = 1e9 },
   { "memory_mb", MT_FIELD_COUNT, offsetof (struct mt_team_row, memory_mb), .max = 1e9 },
   { "accelerators", MT_FIELD_COUNT, offsetof (struct mt_team_row, accelerators), .max = 1e6 },
@@ -76,12 +76,12 @@
 
 static const struct mt_field job_fields[] = {
   { "job", MT_FIELD_TEXT, offsetof (struct mt_job_row, job), .required = true,
-    .form = &mt_form_name },
-  { "kind", MT_FIELD_TEXT, offsetof (struct mt_job_row, kind), .form = &mt_form_name },
+    .form = &mt_text_format_name },
+  { "kind", MT_FIELD_TEXT, offsetof (struct mt_job_row, kind), .form = &mt_text_format_name },
   { "team", MT_FIELD_TEXT, offsetof (struct mt_job_row, team), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "zone", MT_FIELD_TEXT, offsetof (struct mt_job_row, zone), .required = true,
-    .form = &mt_form_name },
+    .form = &mt_text_format_name },
   { "cpu_milli", MT_FIELD_COUNT, offsetof (struct mt_job_row, cpu_milli), .min = 1, .max = 1e6,
     .fallback = 1000 },
   { "memory_mb", MT_FIELD_COUNT, offsetof (struct mt_job_row, memory_mb), .min = 1, .max = 1e8,
@@ -95,7 +95,8 @@
 };
 
 static const struct mt_field wave_fields[] = {
-  { "id", MT_FIELD_TEXT, offsetof (struct mt_wave, id), .required = true, .form = &mt_form_name },
+  { "id", MT_FIELD_TEXT, offsetof (struct mt_wave, id), .required = true,
+    .form = &mt_text_format_name },
   { "stopped", MT_FIELD_FLAG, offsetof (struct mt_wave, stopped) },
   { "drain_limit_s", MT_FIELD_COUNT, offsetof (struct mt_wave, drain_limit_s), .min = 1,
     .max = 86400, .fallback = 600 },
@@ -149,7 +150,7 @@
 {
   g_autofree char *within = g_strdup_printf ("pools, row \"%.60s\", %s", pool, table->name);
   g_autofree char *where = describe_row (within, row, table->key, index);
-  struct mt_field_place place = { MT_ERROR_TABLES, where };
+  struct mt_field_location place = { MT_ERROR_TABLES, where };
 
   return mt_fields_read (owner, out, row, table->fields, NULL, place, error);
 }
@@ -159,7 +160,7 @@
             struct mt_pool *pool,
             const struct inner_table *table,
             const json_t *rows,
-            struct mt_field_place place,
+            struct mt_field_location place,
             GError **error)
 {
   size_t n = json_array_size (rows);
@@ -183,7 +184,7 @@
 read_all_inner (const void *owner,
                 struct mt_pool *pool,
                 const json_t *row,
-                struct mt_field_place place,
+                struct mt_field_location place,
                 GError **error)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (inner_tables); i++)
@@ -197,11 +198,11 @@
 read_wave (const void *owner,
            struct mt_wave *wave,
            const json_t *object,
-           struct mt_field_place place,
+           struct mt_field_location place,
            GError **error)
 {
   g_autofree char *where = g_strdup_printf ("%s, wave", place.where);
-  struct mt_field_place inner = { place.code, where };
+  struct mt_field_location inner = { place.code, where };
 
   wave->id = MT_STR ("");
   if (object == NULL)
@@ -214,7 +215,7 @@
 {
   static const char *const nested[] = { "instances", "teams", "jobs", "wave", NULL };
   g_autofree char *where = describe_row ("pools", row, "pool", index);
-  struct mt_field_place place = { MT_ERROR_TABLES, where };
+  struct mt_field_location place = { MT_ERROR_TABLES, where };
 
   return mt_fields_read (owner, pool, row, pool_fields, nested, place, error)
          && read_all_inner (owner, pool, row, place, error)
@@ -226,7 +227,7 @@
     const void *owner, struct mt_route *route, const json_t *row, size_t index, GError **error)
 {
   g_autofree char *where = describe_row ("routes", row, "route", index);
-  struct mt_field_place place = { MT_ERROR_TABLES, where };
+  struct mt_field_location place = { MT_ERROR_TABLES, where };
 
   return mt_fields_read (owner, route, row, route_fields, NULL, place, error);
 }
@@ -256,7 +257,7 @@
 static bool
 read_version (struct mt_tables *tables,
               const json_t *version,
-              struct mt_field_place place,
+              struct mt_field_location place,
               GError **error)
 {
   if (version != NULL
@@ -270,7 +271,7 @@
 static bool
 read_changes (struct mt_tables *tables,
               const json_t *changes,
-              struct mt_field_place place,
+              struct mt_field_location place,
               GError **error)
 {
   char *text;
@@ -289,7 +290,7 @@
 static bool
 read_document (struct mt_tables *tables,
                const json_t *root,
-               struct mt_field_place place,
+               struct mt_field_location place,
                GError **error)
 {
   static const char *const nested[] = { "version", "routes", "pools", "changes", NULL };
@@ -310,7 +311,7 @@
 bool
 mt_tables_read (struct mt_tables *tables, struct mt_str json, GError **error)
 {
-  struct mt_field_place place = { MT_ERROR_TABLES, "tables" };
+  struct mt_field_location place = { MT_ERROR_TABLES, "tables" };
   json_t *root;
   bool ok;
 
@@ -404,7 +405,7 @@
 /* 15 digits give back what a person typed ("0.1"); a weight that needs 17 gets them, since an edit
  * of a rounded one would show up as a change that nobody made. */
 char *
-mt_tables_print (const struct mt_tables *tables)
+mt_tables_format_pretty (const struct mt_tables *tables)
 {
   json_t *root = mt_tables_write (tables, tables->version, tables->id.data);
   char *text = mt_tables_take_text (json_incref (root), JSON_INDENT (2) | JSON_REAL_PRECISION (15));
--- a/core/config/workspaces.c
+++ b/core/config/workspaces.c
@@ -53,7 +53,7 @@
   for (size_t i = 0; i < len; i++)
     if (!g_ascii_isgraph (name[i]))
       return false;
-  return len > 0 && len <= MT_WORKSPACE_NAME_BYTES;
+  return len > 0 && len <= MT_WORKSPACE_MAX_NAME_BYTES;
 }
 
 bool
@@ -70,7 +70,7 @@
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
                    "workspace %u has no name of 1 to %d printable characters without spaces; give "
                    "it one",
-                   list->rows->len + 1, MT_WORKSPACE_NAME_BYTES);
+                   list->rows->len + 1, MT_WORKSPACE_MAX_NAME_BYTES);
       return false;
     }
   if (g_hash_table_contains (list->names, name))
@@ -118,11 +118,11 @@
   struct mt_workspace *last = list->rows->pdata[list->rows->len - 1];
   const struct mt_workspace *holder;
 
-  if (key == NULL || key[0] == '\0' || strlen (key) > MT_WORKSPACE_KEY_BYTES)
+  if (key == NULL || key[0] == '\0' || strlen (key) > MT_WORKSPACE_MAX_KEY_BYTES)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
                    "key %u of workspace \"%s\" is no text of 1 to %d bytes; replace it",
-                   last->n_keys + 1, last->name, MT_WORKSPACE_KEY_BYTES);
+                   last->n_keys + 1, last->name, MT_WORKSPACE_MAX_KEY_BYTES);
       return false;
     }
   holder = find_key (list, key);
@@ -154,7 +154,7 @@
 const struct mt_workspace *
 mt_workspaces_by_key (const struct mt_workspaces *list, const char *key)
 {
-  if (key == NULL || strlen (key) > MT_WORKSPACE_KEY_BYTES)
+  if (key == NULL || strlen (key) > MT_WORKSPACE_MAX_KEY_BYTES)
     return NULL;
   return find_key (list, key);
 }
--- a/core/control/assign_json.c
+++ b/core/control/assign_json.c
@@ -142,7 +142,7 @@
 struct mt_assign *
 mt_assign_parse (struct mt_str json, GError **error)
 {
-  struct mt_field_place place = { MT_ERROR_SYNTAX, "assignment document" };
+  struct mt_field_location place = { MT_ERROR_SYNTAX, "assignment document" };
   json_t *root = mt_fields_load (json, place, error);
   struct mt_assign *assign;
   json_int_t version;
--- a/core/control/lease.c
+++ b/core/control/lease.c
@@ -76,7 +76,7 @@
   struct mt_store_value value = { 0 };
   bool is_free = lease->store->ops->get (lease->store->ctx, lease->key, &value, NULL);
 
-  if (is_free && value.found && value.held)
+  if (is_free && value.found && value.leased)
     is_free = lease->id != NULL && strcmp (value.data, lease->holder) == 0;
   mt_store_value_clear (&value);
   return is_free;
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -120,7 +120,7 @@
 
       if (!is_unavailable (input, record))
         continue;
-      pool = mt_tables_pool (input->tables, mt_str_from (record->pool));
+      pool = mt_tables_find_pool (input->tables, mt_str_from (record->pool));
       count += pool != NULL && mt_str_equal (pool->service, service);
     }
   return count;
--- a/core/jobs/book.c
+++ b/core/jobs/book.c
@@ -5,22 +5,22 @@
 
 static const struct mt_jobs_options default_options = {
   .age_limit_us = { 60 * MT_SECOND, 600 * MT_SECOND, 3600 * MT_SECOND },
-  .start_limit_us = 30 * MT_SECOND,
-  .ask_again_us = 10 * MT_SECOND,
-  .usage_lag_us = 15 * MT_SECOND,
+  .start_timeout_us = 30 * MT_SECOND,
+  .request_retry_us = 10 * MT_SECOND,
+  .usage_delay_us = 15 * MT_SECOND,
   .quarantine_us = 300 * MT_SECOND,
-  .quarantine_after = 3,
-  .bad_job_after = 3,
+  .quarantine_threshold = 3,
+  .poison_threshold = 3,
   .crash_window_us = 60 * MT_SECOND,
-  .most_starts = 1000,
+  .max_starts = 1000,
 };
 
 static const char *const state_names[] = {
-  [MT_JOB_UNKNOWN] = "unknown", [MT_JOB_WAITING] = "waiting",
-  [MT_JOB_RUNNING] = "running", [MT_JOB_CHECKPOINTING] = "checkpointing",
-  [MT_JOB_FENCING] = "fencing", [MT_JOB_STOPPING] = "stopping",
-  [MT_JOB_DONE] = "done",       [MT_JOB_CANCELLED] = "cancelled",
-  [MT_JOB_NEVER] = "never",     [MT_JOB_BAD] = "bad",
+  [MT_JOB_UNKNOWN] = "unknown",     [MT_JOB_WAITING] = "waiting",
+  [MT_JOB_RUNNING] = "running",     [MT_JOB_CHECKPOINTING] = "checkpointing",
+  [MT_JOB_FENCING] = "fencing",     [MT_JOB_STOPPING] = "stopping",
+  [MT_JOB_DONE] = "done",           [MT_JOB_CANCELLED] = "cancelled",
+  [MT_JOB_UNSCHEDULABLE] = "never", [MT_JOB_POISON] = "bad",
 };
 
 struct mt_jobs_options
@@ -28,7 +28,7 @@
 {
   struct mt_jobs_options options = default_options;
 
-  options.placement = mt_placements ();
+  options.placement = mt_placement_policies ();
   return options;
 }
 
@@ -76,7 +76,7 @@
 static void
 free_kind (gpointer data)
 {
-  struct mt_kind *kind = data;
+  struct mt_job_kind *kind = data;
 
   g_free (kind->name);
   g_hash_table_unref (kind->per_rack);
@@ -115,7 +115,7 @@
   jobs->kinds = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_kind);
   jobs->pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_pool);
   jobs->tombstones = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  for (int i = 0; i < MT_URGENCY_LAST; i++)
+  for (int i = 0; i < MT_URGENCY_COUNT; i++)
     g_queue_init (&jobs->waiting[i]);
   g_queue_init (&jobs->unreported);
   jobs->asking = g_ptr_array_new ();
@@ -132,7 +132,7 @@
 {
   if (jobs == NULL)
     return;
-  for (int i = 0; i < MT_URGENCY_LAST; i++)
+  for (int i = 0; i < MT_URGENCY_COUNT; i++)
     g_queue_clear (&jobs->waiting[i]);
   g_queue_clear (&jobs->unreported);
   g_ptr_array_unref (jobs->asking);
@@ -175,14 +175,14 @@
   return team;
 }
 
-static struct mt_kind *
+static struct mt_job_kind *
 need_kind (struct mt_jobs *jobs, const char *name)
 {
-  struct mt_kind *kind = g_hash_table_lookup (jobs->kinds, name);
+  struct mt_job_kind *kind = g_hash_table_lookup (jobs->kinds, name);
 
   if (kind != NULL)
     return kind;
-  kind = g_new0 (struct mt_kind, 1);
+  kind = g_new0 (struct mt_job_kind, 1);
   kind->name = g_strdup (name);
   kind->per_rack = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_insert (jobs->kinds, kind->name, kind);
@@ -247,36 +247,36 @@
 }
 
 void
-mt_jobs_take_room (struct mt_job *job, struct mt_worker *worker, struct mt_size size)
+mt_jobs_allocate (struct mt_job *job, struct mt_worker *worker, struct mt_job_resources size)
 {
   job->worker = worker;
   job->lease = worker->lease;
   job->taken = size;
-  job->used = (struct mt_size){ 0, 0, 0 };
+  job->used = (struct mt_job_resources){ 0, 0, 0 };
   job->throttled = false;
-  worker->taken = mt_size_add (worker->taken, size);
+  worker->taken = mt_job_resources_add (worker->taken, size);
   g_ptr_array_add (worker->tasks, job);
-  mt_team_take (job, size);
+  mt_team_allocate (job, size);
   count_in_rack (job, 1);
 }
 
 void
-mt_jobs_free_room (struct mt_job *job)
+mt_jobs_release (struct mt_job *job)
 {
   struct mt_worker *worker = job->worker;
 
   if (worker == NULL)
     return;
   count_in_rack (job, -1);
-  mt_team_free (job);
-  worker->taken = mt_size_sub (worker->taken, job->taken);
+  mt_team_release (job);
+  worker->taken = mt_job_resources_sub (worker->taken, job->taken);
   g_ptr_array_remove_fast (worker->tasks, job);
   job->worker = NULL;
-  job->taken = (struct mt_size){ 0, 0, 0 };
+  job->taken = (struct mt_job_resources){ 0, 0, 0 };
 }
 
 void
-mt_jobs_ask (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
+mt_jobs_request_end (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
 {
   mt_jobs_set_state (jobs, job, state);
   job->asked_us = 0;
@@ -293,10 +293,10 @@
 }
 
 void
-mt_jobs_end (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
+mt_jobs_finish (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
 {
   stop_asking (jobs, job);
-  mt_jobs_free_room (job);
+  mt_jobs_release (job);
   mt_jobs_set_state (jobs, job, state);
 }
 
@@ -306,10 +306,10 @@
   /* A cancelled job never waits again, whichever report ended its copy. */
   if (job->state == MT_JOB_STOPPING)
     {
-      mt_jobs_end (jobs, job, MT_JOB_CANCELLED);
+      mt_jobs_finish (jobs, job, MT_JOB_CANCELLED);
       return;
     }
-  mt_jobs_end (jobs, job, MT_JOB_WAITING);
+  mt_jobs_finish (jobs, job, MT_JOB_WAITING);
   mt_jobs_enqueue (jobs, job);
 }
 
@@ -321,7 +321,7 @@
       struct mt_job *job = worker->tasks->pdata[i];
 
       if (job->state == MT_JOB_RUNNING)
-        mt_jobs_ask (jobs, job, MT_JOB_CHECKPOINTING);
+        mt_jobs_request_end (jobs, job, MT_JOB_CHECKPOINTING);
     }
 }
 
@@ -366,9 +366,9 @@
 
   if (worker == NULL)
     worker = add_worker (jobs, spec);
-  if (memcmp (&worker->size, &spec->size, sizeof worker->size) != 0)
+  if (memcmp (&worker->size, &spec->capacity, sizeof worker->size) != 0)
     jobs->generation++;
-  worker->size = spec->size;
+  worker->size = spec->capacity;
   move_worker (jobs, worker, spec->pool);
 }
 
@@ -415,9 +415,9 @@
 }
 
 void
-mt_jobs_each_busy (const struct mt_jobs *jobs,
-                   void (*visit) (void *ctx, const char *worker, unsigned tasks),
-                   void *ctx)
+mt_jobs_foreach_busy_worker (const struct mt_jobs *jobs,
+                             void (*visit) (void *ctx, const char *worker, unsigned tasks),
+                             void *ctx)
 {
   GHashTableIter iter;
   gpointer value;
@@ -433,7 +433,7 @@
 }
 
 unsigned
-mt_jobs_running_on (const struct mt_jobs *jobs, const char *name)
+mt_jobs_worker_task_count (const struct mt_jobs *jobs, const char *name)
 {
   const struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
@@ -441,7 +441,7 @@
 }
 
 void
-mt_jobs_set_quota (struct mt_jobs *jobs, const char *name, struct mt_size quota)
+mt_jobs_set_quota (struct mt_jobs *jobs, const char *name, struct mt_job_resources quota)
 {
   need_team (jobs, name)->quota = quota;
 }
@@ -459,7 +459,7 @@
   job->kind = need_kind (jobs, spec->kind);
   job->team = need_team (jobs, spec->team);
   job->pool = g_strdup (spec->pool);
-  job->declared = spec->size;
+  job->declared = spec->declared;
   job->urgency = spec->urgency;
   job->may_run_twice = spec->may_run_twice;
   job->state = MT_JOB_WAITING;
@@ -473,8 +473,8 @@
 static bool
 has_ended (const struct mt_job *job)
 {
-  return job->state == MT_JOB_DONE || job->state == MT_JOB_CANCELLED || job->state == MT_JOB_NEVER
-         || job->state == MT_JOB_BAD;
+  return job->state == MT_JOB_DONE || job->state == MT_JOB_CANCELLED
+         || job->state == MT_JOB_UNSCHEDULABLE || job->state == MT_JOB_POISON;
 }
 
 static void
@@ -487,7 +487,7 @@
 }
 
 bool
-mt_jobs_forget (struct mt_jobs *jobs, const char *name)
+mt_jobs_remove (struct mt_jobs *jobs, const char *name)
 {
   struct mt_job *job = mt_jobs_find (jobs, name);
   GHashTableIter iter;
@@ -510,7 +510,7 @@
 }
 
 void
-mt_jobs_each (
+mt_jobs_foreach_job (
     const struct mt_jobs *jobs,
     void (*visit) (void *ctx, const char *name, enum mt_job_state state, const char *reason),
     void *ctx)
@@ -553,26 +553,26 @@
   return worker != NULL && worker->quarantined_until_us > mt_clock_now (jobs->clock);
 }
 
-struct mt_size
-mt_jobs_team_held (const struct mt_jobs *jobs, const char *name)
+struct mt_job_resources
+mt_jobs_team_allocated (const struct mt_jobs *jobs, const char *name)
 {
   const struct mt_team *team = g_hash_table_lookup (jobs->teams, name);
 
-  return team != NULL ? team->held : (struct mt_size){ 0, 0, 0 };
+  return team != NULL ? team->held : (struct mt_job_resources){ 0, 0, 0 };
 }
 
-struct mt_size
+struct mt_job_resources
 mt_jobs_team_borrowed (const struct mt_jobs *jobs, const char *name)
 {
   const struct mt_team *team = g_hash_table_lookup (jobs->teams, name);
 
-  return team != NULL ? team->borrowed : (struct mt_size){ 0, 0, 0 };
+  return team != NULL ? team->borrowed : (struct mt_job_resources){ 0, 0, 0 };
 }
 
-struct mt_size
-mt_jobs_worker_taken (const struct mt_jobs *jobs, const char *name)
+struct mt_job_resources
+mt_jobs_worker_allocated (const struct mt_jobs *jobs, const char *name)
 {
   const struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
-  return worker != NULL ? worker->taken : (struct mt_size){ 0, 0, 0 };
+  return worker != NULL ? worker->taken : (struct mt_job_resources){ 0, 0, 0 };
 }
--- a/core/jobs/events.c
+++ b/core/jobs/events.c
@@ -31,14 +31,14 @@
       g_queue_remove (&jobs->waiting[job->aged ? MT_URGENCY_URGENT : job->urgency], job);
       mt_jobs_set_state (jobs, job, MT_JOB_CANCELLED);
       break;
-    case MT_JOB_NEVER:
-    case MT_JOB_BAD:
+    case MT_JOB_UNSCHEDULABLE:
+    case MT_JOB_POISON:
       mt_jobs_set_state (jobs, job, MT_JOB_CANCELLED);
       break;
     case MT_JOB_RUNNING:
     case MT_JOB_CHECKPOINTING:
     case MT_JOB_FENCING:
-      mt_jobs_ask (jobs, job, MT_JOB_STOPPING);
+      mt_jobs_request_end (jobs, job, MT_JOB_STOPPING);
       break;
     default:
       break;
@@ -52,11 +52,11 @@
 
   /* Usage is reported with a lag: what was measured before the task had time to grow would teach
    * sizes near zero, and the next jobs of the kind would overcommit their workers. */
-  if (report->measured_us < job->started_us + jobs->options.usage_lag_us)
+  if (report->measured_us < job->started_us + jobs->options.usage_delay_us)
     return;
   job->used = report->usage;
-  mt_kind_learn (job->kind, report->usage);
-  if (!mt_size_fits (report->usage, job->taken)
+  mt_job_kind_record_usage (job->kind, report->usage);
+  if (!mt_job_resources_fit (report->usage, job->taken)
       && !g_ptr_array_find (jobs->overcommitted, worker, NULL))
     g_ptr_array_add (jobs->overcommitted, worker);
 }
@@ -64,21 +64,21 @@
 static void
 retry_or_end (struct mt_jobs *jobs, struct mt_job *job, const char *what)
 {
-  unsigned workers = mt_job_bad_workers (job);
+  unsigned workers = mt_job_failed_workers (job);
 
-  if (job->state == MT_JOB_STOPPING || workers < jobs->options.bad_job_after)
+  if (job->state == MT_JOB_STOPPING || workers < jobs->options.poison_threshold)
     {
       mt_jobs_requeue (jobs, job);
       return;
     }
   job->reason = g_strdup_printf ("%s %u different workers", what, workers);
-  mt_jobs_end (jobs, job, MT_JOB_BAD);
+  mt_jobs_finish (jobs, job, MT_JOB_POISON);
 }
 
 static void
 note_failure (struct mt_jobs *jobs, struct mt_job *job)
 {
-  mt_worker_note_failure (jobs, job->worker, job);
+  mt_worker_record_failure (jobs, job->worker, job);
   retry_or_end (jobs, job, "failed on");
 }
 
@@ -119,8 +119,8 @@
       break;
     case MT_REPORT_DONE:
       note_usage (jobs, job, report);
-      mt_worker_note_success (job->worker);
-      mt_jobs_end (jobs, job, job->state == MT_JOB_STOPPING ? MT_JOB_CANCELLED : MT_JOB_DONE);
+      mt_worker_record_success (job->worker);
+      mt_jobs_finish (jobs, job, job->state == MT_JOB_STOPPING ? MT_JOB_CANCELLED : MT_JOB_DONE);
       break;
     case MT_REPORT_FAILED:
       note_failure (jobs, job);
@@ -141,11 +141,11 @@
   if (job->may_run_twice)
     mt_jobs_requeue (jobs, job);
   else if (job->state == MT_JOB_RUNNING || job->state == MT_JOB_CHECKPOINTING)
-    mt_jobs_ask (jobs, job, MT_JOB_FENCING);
+    mt_jobs_request_end (jobs, job, MT_JOB_FENCING);
 }
 
 void
-mt_jobs_lose_worker (struct mt_jobs *jobs, const char *name, uint64_t lease)
+mt_jobs_worker_lease_lost (struct mt_jobs *jobs, const char *name, uint64_t lease)
 {
   struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
@@ -158,7 +158,7 @@
 }
 
 void
-mt_jobs_worker_back (struct mt_jobs *jobs, const char *name, uint64_t lease)
+mt_jobs_worker_lease_regained (struct mt_jobs *jobs, const char *name, uint64_t lease)
 {
   struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
@@ -170,14 +170,14 @@
 }
 
 void
-mt_jobs_worker_clean (struct mt_jobs *jobs, const char *name, uint64_t lease)
+mt_jobs_worker_restarted (struct mt_jobs *jobs, const char *name, uint64_t lease)
 {
   struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
   if (worker == NULL || lease <= worker->lease)
     return;
   for (guint i = 0; i < worker->tasks->len; i++)
-    mt_worker_note_crash (jobs, worker, worker->tasks->pdata[i]);
+    mt_worker_record_crash (jobs, worker, worker->tasks->pdata[i]);
   worker->lease = lease;
   worker->lost = false;
   worker->lost_us = 0;
--- a/core/jobs/journal.c
+++ b/core/jobs/journal.c
@@ -136,7 +136,7 @@
   if (found.found && found.len == value->len && memcmp (found.data, value->str, value->len) == 0)
     result = MT_JOURNAL_RECORDED;
   else if (found.found)
-    result = MT_JOURNAL_RIVAL;
+    result = MT_JOURNAL_CONFLICT;
   else
     g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "%s may still be written; load anew", key);
   mt_store_value_clear (&found);
--- a/core/jobs/learn.c
+++ b/core/jobs/learn.c
@@ -21,10 +21,10 @@
   return seen >= peak ? seen : peak - ((peak - seen) >> FORGET_SHIFT);
 }
 
-struct mt_size
-mt_kind_estimate (const struct mt_kind *kind, struct mt_size declared)
+struct mt_job_resources
+mt_job_kind_estimate (const struct mt_job_kind *kind, struct mt_job_resources declared)
 {
-  struct mt_size size = declared;
+  struct mt_job_resources size = declared;
 
   if (kind->samples < ENOUGH_SAMPLES)
     return size;
@@ -34,10 +34,10 @@
   return size;
 }
 
-struct mt_size
-mt_kind_floor (const struct mt_kind *kind, struct mt_size declared)
+struct mt_job_resources
+mt_job_kind_minimum (const struct mt_job_kind *kind, struct mt_job_resources declared)
 {
-  struct mt_size size = declared;
+  struct mt_job_resources size = declared;
 
   if (kind->samples < ENOUGH_SAMPLES)
     return size;
@@ -47,7 +47,7 @@
 }
 
 void
-mt_kind_learn (struct mt_kind *kind, struct mt_size usage)
+mt_job_kind_record_usage (struct mt_job_kind *kind, struct mt_job_resources usage)
 {
   kind->peak.cpu_milli = learn (kind->peak.cpu_milli, usage.cpu_milli);
   kind->peak.memory_mb = learn (kind->peak.memory_mb, usage.memory_mb);
--- a/core/jobs/placement.c
+++ b/core/jobs/placement.c
@@ -12,7 +12,10 @@
 /* Tight fits keep large rooms free, racks are spread within a kind, accelerators are kept for those
  * who need them. */
 static double
-tight_cost (struct mt_size size, struct mt_size room, struct mt_size need, unsigned beside)
+tight_cost (struct mt_job_resources size,
+            struct mt_job_resources room,
+            struct mt_job_resources need,
+            unsigned beside)
 {
   return share_left (room.cpu_milli, need.cpu_milli, size.cpu_milli)
          + share_left (room.memory_mb, need.memory_mb, size.memory_mb)
@@ -21,12 +24,15 @@
 }
 
 static double
-first_cost (struct mt_size size, struct mt_size room, struct mt_size need, unsigned beside)
+first_cost (struct mt_job_resources size,
+            struct mt_job_resources room,
+            struct mt_job_resources need,
+            unsigned beside)
 {
   return 0.0;
 }
 
-static const struct mt_placement placements[] = {
+static const struct mt_placement_policy placements[] = {
   { .name = "tight",
     .description = "tightest fit, racks spread within a kind",
     .cost = tight_cost },
@@ -34,8 +40,8 @@
   { .name = NULL },
 };
 
-const struct mt_placement *
-mt_placements (void)
+const struct mt_placement_policy *
+mt_placement_policies (void)
 {
   return placements;
 }
--- a/core/jobs/plan.c
+++ b/core/jobs/plan.c
@@ -5,7 +5,7 @@
 struct hopeless
 {
   const char *pool;
-  struct mt_size size;
+  struct mt_job_resources size;
 };
 
 struct round
@@ -52,7 +52,7 @@
 
       if ((job->state == MT_JOB_STOPPING) != stops)
         continue;
-      if (job->asked_us != 0 && round->now - job->asked_us < jobs->options.ask_again_us)
+      if (job->asked_us != 0 && round->now - job->asked_us < jobs->options.request_retry_us)
         continue;
       job->asked_us = round->now;
       append (round, action_for (job->state), job);
@@ -85,12 +85,12 @@
   struct mt_job *job;
 
   while ((job = g_queue_peek_head (&jobs->unreported)) != NULL
-         && round->now - job->started_us >= jobs->options.start_limit_us)
+         && round->now - job->started_us >= jobs->options.start_timeout_us)
     {
       g_queue_pop_head (&jobs->unreported);
       job->reported = true;
       if (job->state == MT_JOB_RUNNING)
-        mt_jobs_ask (jobs, job, MT_JOB_FENCING);
+        mt_jobs_request_end (jobs, job, MT_JOB_FENCING);
     }
 }
 
@@ -128,11 +128,11 @@
 /* What the job would take of this worker: its estimate, cut to the worker where only the headroom
  * does not fit. False where even the floor does not. */
 static bool
-need_on (const struct mt_job *job, const struct mt_worker *worker, struct mt_size *need)
+need_on (const struct mt_job *job, const struct mt_worker *worker, struct mt_job_resources *need)
 {
-  struct mt_size estimate = mt_kind_estimate (job->kind, job->declared);
+  struct mt_job_resources estimate = mt_job_kind_estimate (job->kind, job->declared);
 
-  if (!mt_size_fits (mt_kind_floor (job->kind, job->declared), worker->size))
+  if (!mt_job_resources_fit (mt_job_kind_minimum (job->kind, job->declared), worker->size))
     return false;
   need->cpu_milli = MIN (estimate.cpu_milli, worker->size.cpu_milli);
   need->memory_mb = MIN (estimate.memory_mb, worker->size.memory_mb);
@@ -154,7 +154,8 @@
   /* A hold ends with its job's wait, however that ended. */
   if (worker->held_for != NULL && worker->held_for->state != MT_JOB_WAITING)
     worker->held_for = NULL;
-  return mt_worker_accepts (jobs, worker) && (worker->held_for == NULL || worker->held_for == job)
+  return mt_worker_accepts_tasks (jobs, worker)
+         && (worker->held_for == NULL || worker->held_for == job)
          && !g_ptr_array_find (job->failed_on, worker, NULL);
 }
 
@@ -165,7 +166,7 @@
 }
 
 static struct mt_worker *
-find_room (struct mt_jobs *jobs, const struct mt_job *job, struct mt_size *need)
+find_room (struct mt_jobs *jobs, const struct mt_job *job, struct mt_job_resources *need)
 {
   GPtrArray *workers = workers_of (jobs, job->pool);
   struct mt_worker *best = NULL;
@@ -174,11 +175,11 @@
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       struct mt_worker *worker = workers->pdata[i];
-      struct mt_size room = mt_size_sub (worker->size, worker->taken);
-      struct mt_size wanted;
+      struct mt_job_resources room = mt_job_resources_sub (worker->size, worker->taken);
+      struct mt_job_resources wanted;
       double cost;
 
-      if (!need_on (job, worker, &wanted) || !mt_size_fits (wanted, room)
+      if (!need_on (job, worker, &wanted) || !mt_job_resources_fit (wanted, room)
           || !may_start_on (jobs, job, worker) || (job->suspect && worker->tasks->len > 0))
         continue;
       cost = jobs->options.placement->cost (worker->size, room, wanted,
@@ -207,12 +208,15 @@
 }
 
 static void
-start (struct round *round, struct mt_job *job, struct mt_worker *worker, struct mt_size need)
+start (struct round *round,
+       struct mt_job *job,
+       struct mt_worker *worker,
+       struct mt_job_resources need)
 {
   struct mt_jobs *jobs = round->jobs;
 
   release_hold (jobs, job);
-  mt_jobs_take_room (job, worker, need);
+  mt_jobs_allocate (job, worker, need);
   job->epoch++;
   job->started_us = round->now;
   job->reported = false;
@@ -234,11 +238,13 @@
 
 /* The room there would be once all that must yield has, and how many tasks that are. */
 static unsigned
-room_after_yield (const struct mt_worker *worker, const struct mt_job *job, struct mt_size *room)
+room_after_yield (const struct mt_worker *worker,
+                  const struct mt_job *job,
+                  struct mt_job_resources *room)
 {
   unsigned yielding = 0;
 
-  *room = mt_size_sub (worker->size, worker->taken);
+  *room = mt_job_resources_sub (worker->size, worker->taken);
   for (guint i = 0; i < worker->tasks->len; i++)
     {
       const struct mt_job *task = worker->tasks->pdata[i];
@@ -246,7 +252,7 @@
       /* Those that yield already count as room, but not as a cost. */
       if (task->state != MT_JOB_CHECKPOINTING && !must_yield (task, job))
         continue;
-      *room = mt_size_add (*room, task->taken);
+      *room = mt_job_resources_add (*room, task->taken);
       yielding += task->state == MT_JOB_RUNNING;
     }
   return yielding;
@@ -262,11 +268,11 @@
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       struct mt_worker *worker = workers->pdata[i];
-      struct mt_size room;
-      struct mt_size need;
+      struct mt_job_resources room;
+      struct mt_job_resources need;
       unsigned cost = room_after_yield (worker, job, &room);
 
-      if (!need_on (job, worker, &need) || !mt_size_fits (need, room)
+      if (!need_on (job, worker, &need) || !mt_job_resources_fit (need, room)
           || !may_start_on (jobs, job, worker))
         continue;
       if (best != NULL && cost >= best_cost)
@@ -281,8 +287,8 @@
 static void
 take_back (struct mt_jobs *jobs, struct mt_job *job, struct mt_worker *worker)
 {
-  struct mt_size room = mt_size_sub (worker->size, worker->taken);
-  struct mt_size need;
+  struct mt_job_resources room = mt_job_resources_sub (worker->size, worker->taken);
+  struct mt_job_resources need;
 
   if (!need_on (job, worker, &need))
     return;
@@ -292,17 +298,17 @@
       const struct mt_job *task = worker->tasks->pdata[i];
 
       if (task->state == MT_JOB_CHECKPOINTING)
-        room = mt_size_add (room, task->taken);
+        room = mt_job_resources_add (room, task->taken);
     }
   for (int urgency = MT_URGENCY_BACKGROUND; urgency >= MT_URGENCY_URGENT; urgency--)
-    for (guint i = 0; i < worker->tasks->len && !mt_size_fits (need, room); i++)
+    for (guint i = 0; i < worker->tasks->len && !mt_job_resources_fit (need, room); i++)
       {
         struct mt_job *task = worker->tasks->pdata[i];
 
         if ((int) task->urgency != urgency || !must_yield (task, job))
           continue;
-        room = mt_size_add (room, task->taken);
-        mt_jobs_ask (jobs, task, MT_JOB_CHECKPOINTING);
+        room = mt_job_resources_add (room, task->taken);
+        mt_jobs_request_end (jobs, task, MT_JOB_CHECKPOINTING);
       }
 }
 
@@ -329,7 +335,7 @@
 {
   GPtrArray *workers = workers_of (jobs, job->pool);
   struct mt_worker *best = NULL;
-  struct mt_size need;
+  struct mt_job_resources need;
 
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
@@ -348,7 +354,7 @@
 fits_somewhere (const struct mt_jobs *jobs, const struct mt_job *job)
 {
   GPtrArray *workers = workers_of (jobs, job->pool);
-  struct mt_size need;
+  struct mt_job_resources need;
 
   /* A pool without workers may get some: that is no judgement on the job. */
   if (workers == NULL || workers->len == 0)
@@ -362,7 +368,7 @@
 static void
 give_up_on (struct mt_jobs *jobs, struct mt_job *job)
 {
-  struct mt_size need = mt_kind_floor (job->kind, job->declared);
+  struct mt_job_resources need = mt_job_kind_minimum (job->kind, job->declared);
 
   g_free (job->reason);
   job->reason = g_strdup_printf ("needs %u thousandths of a processor, %u MB and %u accelerators; "
@@ -370,19 +376,19 @@
                                  need.cpu_milli, need.memory_mb, need.accelerators, job->pool);
   job->never_at = jobs->generation;
   release_hold (jobs, job);
-  mt_jobs_set_state (jobs, job, MT_JOB_NEVER);
+  mt_jobs_set_state (jobs, job, MT_JOB_UNSCHEDULABLE);
 }
 
 static bool
 is_hopeless (const struct round *round, const struct mt_job *job)
 {
-  struct mt_size size = mt_kind_estimate (job->kind, job->declared);
+  struct mt_job_resources size = mt_job_kind_estimate (job->kind, job->declared);
 
   for (guint i = 0; i < round->hopeless->len; i++)
     {
       const struct hopeless *h = &g_array_index (round->hopeless, struct hopeless, i);
 
-      if (g_str_equal (h->pool, job->pool) && mt_size_fits (h->size, size))
+      if (g_str_equal (h->pool, job->pool) && mt_job_resources_fit (h->size, size))
         return true;
     }
   return false;
@@ -391,7 +397,7 @@
 static void
 note_hopeless (struct round *round, const struct mt_job *job)
 {
-  struct hopeless h = { job->pool, mt_kind_estimate (job->kind, job->declared) };
+  struct hopeless h = { job->pool, mt_job_kind_estimate (job->kind, job->declared) };
 
   /* What failed elsewhere or waits for a held worker says nothing of other jobs. */
   if (job->failed_on->len == 0)
@@ -403,7 +409,7 @@
 try_place (struct round *round, struct mt_job *job, bool urgent)
 {
   struct mt_jobs *jobs = round->jobs;
-  struct mt_size need;
+  struct mt_job_resources need;
   struct mt_worker *worker;
 
   if (!job->aged && !urgent && is_hopeless (round, job))
@@ -422,7 +428,7 @@
   note_hopeless (round, job);
   if (!urgent || holds_a_worker (jobs, job))
     return false;
-  if (mt_team_within_quota (job->team, mt_kind_estimate (job->kind, job->declared))
+  if (mt_team_within_quota (job->team, mt_job_kind_estimate (job->kind, job->declared))
       && (worker = find_yielding (jobs, job)) != NULL)
     take_back (jobs, job, worker);
   else if (job->aged)
@@ -436,7 +442,7 @@
   GQueue *queue = &round->jobs->waiting[urgency];
   GList *link = queue->head;
 
-  while (link != NULL && round->starts < round->jobs->options.most_starts)
+  while (link != NULL && round->starts < round->jobs->options.max_starts)
     {
       GList *next = link->next;
 
@@ -458,7 +464,7 @@
     {
       struct mt_job *job = value;
 
-      if (job->state != MT_JOB_NEVER || job->never_at == jobs->generation)
+      if (job->state != MT_JOB_UNSCHEDULABLE || job->never_at == jobs->generation)
         continue;
       job->never_at = jobs->generation;
       if (!fits_somewhere (jobs, job))
@@ -478,15 +484,15 @@
   ask_for (&round, true);
   stop_strays (&round);
   give_up_unreported (&round);
-  mt_jobs_relieve (jobs, actions);
-  mt_teams_settle (jobs);
+  mt_jobs_relieve_overcommitted (jobs, actions);
+  mt_teams_update_borrowed (jobs);
   if (jobs->judged_at != jobs->generation)
     reconsider_never (jobs);
   jobs->judged_at = jobs->generation;
   promote_aged (&round, MT_URGENCY_NORMAL);
   promote_aged (&round, MT_URGENCY_BACKGROUND);
   mark_aged_urgent (&round);
-  for (int urgency = 0; urgency < MT_URGENCY_LAST; urgency++)
+  for (int urgency = 0; urgency < MT_URGENCY_COUNT; urgency++)
     {
       place_queue (&round, (enum mt_urgency) urgency);
       g_array_set_size (round.hopeless, 0);
--- a/core/jobs/quarantine.c
+++ b/core/jobs/quarantine.c
@@ -43,23 +43,23 @@
 }
 
 void
-mt_worker_note_failure (struct mt_jobs *jobs, struct mt_worker *worker, struct mt_job *job)
+mt_worker_record_failure (struct mt_jobs *jobs, struct mt_worker *worker, struct mt_job *job)
 {
   if (!g_ptr_array_find (job->failed_on, worker, NULL))
     g_ptr_array_add (job->failed_on, worker);
-  if (mt_job_bad_workers (job) >= jobs->options.bad_job_after)
+  if (mt_job_failed_workers (job) >= jobs->options.poison_threshold)
     {
       forgive (job);
       return;
     }
   if (!has_name (worker->failures, job->name))
     g_ptr_array_add (worker->failures, g_strdup (job->name));
-  if (worker->probation || worker->failures->len >= jobs->options.quarantine_after)
+  if (worker->probation || worker->failures->len >= jobs->options.quarantine_threshold)
     quarantine (jobs, worker);
 }
 
 unsigned
-mt_job_bad_workers (const struct mt_job *job)
+mt_job_failed_workers (const struct mt_job *job)
 {
   return job->failed_on->len + job->failed_before;
 }
@@ -82,7 +82,7 @@
 
 /* What ran for longer was not the cause, nor what stands beside a suspect: that one is. */
 void
-mt_worker_note_crash (struct mt_jobs *jobs, struct mt_worker *worker, struct mt_job *job)
+mt_worker_record_crash (struct mt_jobs *jobs, struct mt_worker *worker, struct mt_job *job)
 {
   int64_t lost_us = worker->lost_us != 0 ? worker->lost_us : mt_clock_now (jobs->clock);
 
@@ -95,7 +95,7 @@
 }
 
 void
-mt_worker_note_success (struct mt_worker *worker)
+mt_worker_record_success (struct mt_worker *worker)
 {
   g_ptr_array_set_size (worker->failures, 0);
   worker->probation = false;
@@ -103,7 +103,7 @@
 }
 
 bool
-mt_worker_accepts (struct mt_jobs *jobs, struct mt_worker *worker)
+mt_worker_accepts_tasks (struct mt_jobs *jobs, struct mt_worker *worker)
 {
   if (worker->draining || worker->lost)
     return false;
--- a/core/jobs/quota.c
+++ b/core/jobs/quota.c
@@ -2,33 +2,33 @@
 #include "internal.h"
 
 bool
-mt_team_within_quota (const struct mt_team *team, struct mt_size more)
+mt_team_within_quota (const struct mt_team *team, struct mt_job_resources more)
 {
-  struct mt_size owned = mt_size_sub (team->held, team->borrowed);
+  struct mt_job_resources owned = mt_job_resources_sub (team->held, team->borrowed);
 
-  return mt_size_fits (mt_size_add (owned, more), team->quota);
+  return mt_job_resources_fit (mt_job_resources_add (owned, more), team->quota);
 }
 
 void
-mt_team_take (struct mt_job *job, struct mt_size size)
+mt_team_allocate (struct mt_job *job, struct mt_job_resources size)
 {
   struct mt_team *team = job->team;
 
   job->borrowed = !mt_team_within_quota (team, size);
-  team->held = mt_size_add (team->held, size);
+  team->held = mt_job_resources_add (team->held, size);
   if (job->borrowed)
-    team->borrowed = mt_size_add (team->borrowed, size);
+    team->borrowed = mt_job_resources_add (team->borrowed, size);
   g_ptr_array_add (team->tasks, job);
 }
 
 void
-mt_team_free (struct mt_job *job)
+mt_team_release (struct mt_job *job)
 {
   struct mt_team *team = job->team;
 
-  team->held = mt_size_sub (team->held, job->taken);
+  team->held = mt_job_resources_sub (team->held, job->taken);
   if (job->borrowed)
-    team->borrowed = mt_size_sub (team->borrowed, job->taken);
+    team->borrowed = mt_job_resources_sub (team->borrowed, job->taken);
   job->borrowed = false;
   g_ptr_array_remove_fast (team->tasks, job);
 }
@@ -43,12 +43,12 @@
       if (!job->borrowed || !mt_team_within_quota (team, job->taken))
         continue;
       job->borrowed = false;
-      team->borrowed = mt_size_sub (team->borrowed, job->taken);
+      team->borrowed = mt_job_resources_sub (team->borrowed, job->taken);
     }
 }
 
 void
-mt_teams_settle (struct mt_jobs *jobs)
+mt_teams_update_borrowed (struct mt_jobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
--- a/core/jobs/record.c
+++ b/core/jobs/record.c
@@ -53,7 +53,7 @@
 static void
 pack_entry (msgpack_packer *pk, const struct mt_job *job)
 {
-  unsigned bad_workers = mt_job_bad_workers (job);
+  unsigned bad_workers = mt_job_failed_workers (job);
 
   msgpack_pack_array (pk, bad_workers > 0 ? ENTRY_FIELDS_BAD : ENTRY_FIELDS);
   pack_text (pk, job->name);
@@ -101,7 +101,7 @@
   if (object->via.array.size == ENTRY_FIELDS_BAD && !read_number (&fields[5], &entry->bad_workers))
     return false;
   if (!read_text (&fields[0], entry->name) || !read_number (&fields[1], &state)
-      || state > MT_JOB_BAD || !read_number (&fields[2], &entry->epoch)
+      || state > MT_JOB_POISON || !read_number (&fields[2], &entry->epoch)
       || !read_number (&fields[4], &entry->lease))
     return false;
   entry->state = (enum mt_job_state) state;
@@ -143,7 +143,7 @@
 {
   struct mt_worker *worker = need_worker (jobs, entry);
 
-  mt_jobs_take_room (job, worker, mt_kind_estimate (job->kind, job->declared));
+  mt_jobs_allocate (job, worker, mt_job_kind_estimate (job->kind, job->declared));
   job->lease = entry->lease;
   job->started_us = mt_clock_now (jobs->clock);
   /* The former planner may have died between the record and the start: until the worker reports the
@@ -151,12 +151,12 @@
   job->reported = false;
   g_queue_push_tail (&jobs->unreported, job);
   if (entry->state != MT_JOB_RUNNING)
-    mt_jobs_ask (jobs, job, entry->state);
+    mt_jobs_request_end (jobs, job, entry->state);
   /* The worker started anew since: nothing of that lease runs now. */
   if (worker->lease > entry->lease)
     mt_jobs_requeue (jobs, job);
   else if (worker->lost && job->state == MT_JOB_RUNNING)
-    mt_jobs_ask (jobs, job, MT_JOB_FENCING);
+    mt_jobs_request_end (jobs, job, MT_JOB_FENCING);
 }
 
 static void
@@ -167,7 +167,7 @@
     {
       g_ptr_array_remove_fast (jobs->asking, job);
       g_queue_remove (&jobs->unreported, job);
-      mt_jobs_free_room (job);
+      mt_jobs_release (job);
     }
   job->epoch = MAX (job->epoch, entry->epoch);
   job->state = entry->state;
@@ -197,7 +197,7 @@
 }
 
 void
-mt_jobs_changes (struct mt_jobs *jobs, GString *out)
+mt_jobs_take_changes (struct mt_jobs *jobs, GString *out)
 {
   msgpack_packer pk;
 
--- a/core/jobs/relief.c
+++ b/core/jobs/relief.c
@@ -5,13 +5,13 @@
 /* Memory can't be throttled: relief starts before the last tenth is gone. */
 #define MEMORY_RELIEF_PERCENT 90
 
-static struct mt_size
+static struct mt_job_resources
 used_on (const struct mt_worker *worker)
 {
-  struct mt_size used = { 0, 0, 0 };
+  struct mt_job_resources used = { 0, 0, 0 };
 
   for (guint i = 0; i < worker->tasks->len; i++)
-    used = mt_size_add (used, ((const struct mt_job *) worker->tasks->pdata[i])->used);
+    used = mt_job_resources_add (used, ((const struct mt_job *) worker->tasks->pdata[i])->used);
   return used;
 }
 
@@ -54,7 +54,7 @@
 static void
 relieve_worker (struct mt_jobs *jobs, struct mt_worker *worker, GArray *actions)
 {
-  struct mt_size used = used_on (worker);
+  struct mt_job_resources used = used_on (worker);
   uint64_t memory_limit = (uint64_t) worker->size.memory_mb * MEMORY_RELIEF_PERCENT / 100;
   struct mt_job *victim;
 
@@ -63,7 +63,7 @@
     {
       victim = pick_victim (worker, true);
       if (victim != NULL)
-        mt_jobs_ask (jobs, victim, MT_JOB_CHECKPOINTING);
+        mt_jobs_request_end (jobs, victim, MT_JOB_CHECKPOINTING);
     }
   else if (used.cpu_milli > worker->size.cpu_milli)
     {
@@ -74,7 +74,7 @@
 }
 
 void
-mt_jobs_relieve (struct mt_jobs *jobs, GArray *actions)
+mt_jobs_relieve_overcommitted (struct mt_jobs *jobs, GArray *actions)
 {
   for (guint i = 0; i < jobs->overcommitted->len; i++)
     relieve_worker (jobs, jobs->overcommitted->pdata[i], actions);
--- a/core/scheduler/scheduler_record.c
+++ b/core/scheduler/scheduler_record.c
@@ -50,10 +50,10 @@
 {
   g_string_append_printf (out, "%s[%u,%u,%u,%u,%u,", first ? "" : ",", task->occ->number,
                           task->step, task->index, task->run, task->attempts);
-  mt_json_append_text (out, task->worker != NULL ? task->worker->id : "");
+  mt_json_append_string (out, task->worker != NULL ? task->worker->id : "");
   g_string_append_printf (out, ",%" G_GINT64_FORMAT ",",
                           task->worker != NULL ? task->worker->born : 0);
-  mt_json_append_text (out, task->checkpoint);
+  mt_json_append_string (out, task->checkpoint);
   if (task->losses > 0)
     g_string_append_printf (out, ",%u,%u,%d,%d", task->losses, task->crashes, task->suspect,
                             task->worker != NULL && mt_task_has_begun (task));
--- a/ctl/command_apply.c
+++ b/ctl/command_apply.c
@@ -145,8 +145,8 @@
   g_autofree char *text
       = mt_tables_format_next (edit->accepted.tables, edit->wanted, edit->version, edit->id);
   int64_t began_us = mt_clock_now (mt_clock_system ());
-  enum mt_store_put put = store->ops->put (store->ctx, MT_TABLES_KEY, mt_str_from (text),
-                                           edit->accepted.value.index, &error);
+  enum mt_store_write_result put = store->ops->put (store->ctx, MT_TABLES_KEY, mt_str_from (text),
+                                                    edit->accepted.value.index, &error);
 
   switch (put)
     {
--- a/ctl/command_show.c
+++ b/ctl/command_show.c
@@ -13,7 +13,7 @@
   if (accepted.why_unreadable != NULL)
     code = mt_report_error (context, accepted.why_unreadable, MT_EXIT_REFUSED);
   else if (accepted.tables != NULL)
-    text = mt_tables_print (accepted.tables);
+    text = mt_tables_format_pretty (accepted.tables);
   else
     text = g_strdup ("{\"routes\":[],\"pools\":[]}");
   if (text != NULL)
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -112,7 +112,7 @@
 static bool
 is_registered (struct mt_control *control)
 {
-  enum mt_store_put put;
+  enum mt_store_write_result put;
 
   if (control->registered)
     return true;
--- a/daemon/feed.c
+++ b/daemon/feed.c
@@ -121,7 +121,7 @@
 static enum mt_acceptance
 judge (struct mt_feed *feed, const struct mt_tables *offered)
 {
-  enum mt_acceptance verdict = mt_acceptance_judge (mt_view_begin (feed->views), offered);
+  enum mt_acceptance verdict = mt_acceptance_compare (mt_view_begin (feed->views), offered);
 
   mt_view_end ();
   return verdict;
@@ -146,7 +146,7 @@
 
   switch (verdict)
     {
-    case MT_ACCEPTANCE_TAKE:
+    case MT_ACCEPTANCE_NEWER:
       mt_view_offer (feed->views, tables);
       return verdict;
     case MT_ACCEPTANCE_SAME:
@@ -204,7 +204,7 @@
   else
     verdict = offer (feed, tables);
   g_mutex_unlock (&feed->lock);
-  if (verdict == MT_ACCEPTANCE_TAKE || verdict == MT_ACCEPTANCE_SAME)
+  if (verdict == MT_ACCEPTANCE_NEWER || verdict == MT_ACCEPTANCE_SAME)
     {
       feed->seen_hash = XXH3_64bits (value->data, value->len);
       feed->seen_version = version;
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -109,7 +109,7 @@
   plan->id = mt_arena_dup (request->arena, mt_str_from (id));
   tables = mt_view_begin (front->options.views);
   if (tables != NULL)
-    route = mt_tables_route (tables, request->method, request->path);
+    route = mt_tables_match_route (tables, request->method, request->path);
   if (route != NULL)
     {
       plan->pool = mt_arena_dup (request->arena, route->pool);
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -76,11 +76,11 @@
   if (mt_jobs_worker_pool (book, news->name) != NULL)
     spec.pool = mt_jobs_worker_pool (book, news->name);
   mt_jobs_set_worker (book, &spec);
-  mt_jobs_worker_clean (book, news->name, news->lease);
+  mt_jobs_worker_restarted (book, news->name, news->lease);
   if (news->alive)
-    mt_jobs_worker_back (book, news->name, news->lease);
+    mt_jobs_worker_lease_regained (book, news->name, news->lease);
   else
-    mt_jobs_lose_worker (book, news->name, news->lease);
+    mt_jobs_worker_lease_lost (book, news->name, news->lease);
 }
 
 static void
@@ -128,7 +128,7 @@
     .kind = row->kind.len > 0 ? row->kind.data : pool->name.data,
     .team = row->team.data,
     .pool = pool->name.data,
-    .size = { row->cpu_milli, row->memory_mb, row->accelerators },
+    .declared = { row->cpu_milli, row->memory_mb, row->accelerators },
     .urgency = (enum mt_urgency) row->urgency,
     .may_run_twice = row->may_run_twice,
   };
@@ -147,7 +147,7 @@
   for (size_t i = 0; i < pool->n_teams; i++)
     {
       const struct mt_team_row *row = &pool->teams[i];
-      struct mt_size quota = { row->cpu_milli, row->memory_mb, row->accelerators };
+      struct mt_job_resources quota = { row->cpu_milli, row->memory_mb, row->accelerators };
 
       mt_jobs_set_quota (book, row->team.data, quota);
     }
@@ -167,7 +167,7 @@
   while (g_hash_table_iter_next (&iter, &name, NULL))
     {
       mt_jobs_cancel (book, name);
-      if (mt_jobs_forget (book, name))
+      if (mt_jobs_remove (book, name))
         g_hash_table_iter_remove (&iter);
     }
 }
@@ -290,7 +290,7 @@
   end_removed (runner, runner->book);
   assign_workers (runner, runner->book);
   mt_jobs_plan (runner->book, actions);
-  mt_jobs_changes (runner->book, batch);
+  mt_jobs_take_changes (runner->book, batch);
   g_mutex_unlock (&runner->lock);
   return carry_out (runner, actions, batch, error);
 }
@@ -373,7 +373,7 @@
 {
   g_mutex_lock (&runner->lock);
   if (runner->book != NULL)
-    mt_jobs_each_busy (runner->book, visit, ctx);
+    mt_jobs_foreach_busy_worker (runner->book, visit, ctx);
   g_mutex_unlock (&runner->lock);
 }
 
@@ -404,7 +404,7 @@
   g_mutex_lock (&runner->lock);
   planner = runner->book != NULL;
   if (planner)
-    mt_jobs_each (runner->book, dump_job, &dump);
+    mt_jobs_foreach_job (runner->book, dump_job, &dump);
   g_mutex_unlock (&runner->lock);
   return json_pack ("{sb so so}", "planner", planner, "states", dump.states, "reasons",
                     dump.reasons);
--- a/daemon/proxied.c
+++ b/daemon/proxied.c
@@ -90,7 +90,7 @@
 write_key (const struct mt_proxied *proxied, const struct mt_store *store, const char *name)
 {
   g_autofree char *key = g_strdup_printf ("%s%s/%s/", MT_HOLDERS_PREFIX, proxied->zone, name);
-  enum mt_store_put put;
+  enum mt_store_write_result put;
 
   if (has_key (store, key))
     return true;
--- a/fleet/settings.c
+++ b/fleet/settings.c
@@ -9,17 +9,17 @@
 #define BOUND(member) offsetof (struct mt_fleet_bounds, member)
 
 static const struct mt_field top_fields[] = {
-  { "name", MT_FIELD_TEXT, FIELD (name), .required = true, .form = &mt_form_name },
-  { "zone", MT_FIELD_TEXT, FIELD (zone), .required = true, .form = &mt_form_name },
-  { "listen", MT_FIELD_TEXT, FIELD (listen), .required = true, .form = &mt_form_listen },
+  { "name", MT_FIELD_TEXT, FIELD (name), .required = true, .form = &mt_text_format_name },
+  { "zone", MT_FIELD_TEXT, FIELD (zone), .required = true, .form = &mt_text_format_name },
+  { "listen", MT_FIELD_TEXT, FIELD (listen), .required = true, .form = &mt_text_format_listen },
   { "ready_listen", MT_FIELD_TEXT, FIELD (ready_listen), .required = true,
-    .form = &mt_form_listen },
+    .form = &mt_text_format_listen },
   { "ip", MT_FIELD_TEXT, FIELD (ip), .required = true },
   { "peer_port", MT_FIELD_COUNT, FIELD (peer_port), .required = true, .max = 65535 },
   { "metrics_port", MT_FIELD_COUNT, FIELD (metrics_port), .max = 65535 },
-  { "store", MT_FIELD_TEXT, FIELD (store), .required = true, .form = &mt_form_address },
-  { "machines", MT_FIELD_TEXT, FIELD (machines), .form = &mt_form_address },
-  { "advisor", MT_FIELD_TEXT, FIELD (advisor), .form = &mt_form_address },
+  { "store", MT_FIELD_TEXT, FIELD (store), .required = true, .form = &mt_text_format_address },
+  { "machines", MT_FIELD_TEXT, FIELD (machines), .form = &mt_text_format_address },
+  { "advisor", MT_FIELD_TEXT, FIELD (advisor), .form = &mt_text_format_address },
   { "cores", MT_FIELD_WEIGHT, FIELD (cores), .min = 0.01, .max = 1024, .fallback = 1 },
   { "link_mbps", MT_FIELD_WEIGHT, FIELD (link_mbps), .max = 1e6 },
   { "connections", MT_FIELD_COUNT, FIELD (connections), .min = 1, .max = 20000, .fallback = 2000 },
@@ -55,8 +55,8 @@
 mt_fleet_settings_parse (struct mt_str json, GError **error)
 {
   static const char *const nested[] = { "bounds", NULL };
-  struct mt_field_place place = { MT_ERROR_SETTINGS, "settings" };
-  struct mt_field_place inner = { MT_ERROR_SETTINGS, "settings, bounds" };
+  struct mt_field_location place = { MT_ERROR_SETTINGS, "settings" };
+  struct mt_field_location inner = { MT_ERROR_SETTINGS, "settings, bounds" };
   json_t *root = mt_fields_load (json, place, error);
   struct mt_fleet_settings *s;
   json_t *bounds;
--- a/include/medlartrack/acceptance.h
+++ b/include/medlartrack/acceptance.h
@@ -9,7 +9,7 @@
 
 enum mt_acceptance
 {
-  MT_ACCEPTANCE_TAKE,   /* newer than what is held: put it in force */
+  MT_ACCEPTANCE_NEWER,  /* newer than what is held: put it in force */
   MT_ACCEPTANCE_SAME,   /* what is held: it is current as of now */
   MT_ACCEPTANCE_OLDER,  /* a stale read, a late peer or a restored store: keep what is held */
   MT_ACCEPTANCE_FORKED, /* the version held with another id: keep what is held, tell the operators
@@ -17,14 +17,14 @@
 };
 
 /* held is NULL before the first tables. */
-enum mt_acceptance mt_acceptance_judge (const struct mt_tables *held,
-                                        const struct mt_tables *offered);
+enum mt_acceptance mt_acceptance_compare (const struct mt_tables *held,
+                                          const struct mt_tables *offered);
 
 enum mt_repair
 {
   MT_REPAIR_DONE,       /* the store holds the held document again */
   MT_REPAIR_NOT_NEEDED, /* the second read showed no older value: the first was stale */
-  MT_REPAIR_LOST,       /* another write came first; the watch will show it */
+  MT_REPAIR_CONFLICT,   /* another write came first; the watch will show it */
   MT_REPAIR_FAILED,     /* the store does not answer, or not surely; the watch will show it */
 };
 
--- a/include/medlartrack/breaker.h
+++ b/include/medlartrack/breaker.h
@@ -13,9 +13,9 @@
 {
   const struct mt_clock *clock;
   const struct mt_store *inner; /* outlives the breaker */
-  unsigned failures;            /* so many in a row open it */
-  int64_t first_us;             /* least pause before a probe */
-  int64_t longest_us;           /* longest pause */
+  unsigned failure_threshold;   /* so many in a row open it */
+  int64_t min_pause_us;         /* least pause before a probe */
+  int64_t max_pause_us;         /* longest pause */
   uint32_t seed;                /* of the jitter, unlike any other daemon's */
 };
 
--- a/include/medlartrack/jobs_journal.h
+++ b/include/medlartrack/jobs_journal.h
@@ -25,8 +25,8 @@
 enum mt_journal_result
 {
   MT_JOURNAL_RECORDED,
-  MT_JOURNAL_RIVAL,  /* another planner's batch came first: drop the book, load anew */
-  MT_JOURNAL_FAILED, /* not recorded, or not known: drop the book, load anew when it answers */
+  MT_JOURNAL_CONFLICT, /* another planner's batch came first: drop the book, load anew */
+  MT_JOURNAL_FAILED,   /* not recorded, or not known: drop the book, load anew when it answers */
 };
 
 /* Records one batch; carry its actions out only after RECORDED. */
--- a/include/medlartrack/json_text.h
+++ b/include/medlartrack/json_text.h
@@ -6,6 +6,6 @@
 #include <glib.h>
 
 /* Appends text in quotes. It must be UTF-8, as all is that was read from JSON; NULL is "". */
-void mt_json_append_text (GString *out, const char *text);
+void mt_json_append_string (GString *out, const char *text);
 
 #endif
--- a/include/medlartrack/once.h
+++ b/include/medlartrack/once.h
@@ -89,7 +89,7 @@
   int64_t started_us;
   /* Set by mt_once_perform_call. */
   bool ok;
-  enum mt_store_put put;
+  enum mt_store_write_result put;
   struct mt_store_value value;
   GPtrArray *list;
 };
--- a/include/medlartrack/store.h
+++ b/include/medlartrack/store.h
@@ -11,7 +11,7 @@
 struct mt_store_value
 {
   bool found;
-  bool held;      /* a lease holds the key */
+  bool leased;    /* a lease holds the key */
   bool unchanged; /* of a watch: as it was at the index given; the data may be left out */
   char *data;     /* NUL-terminated for convenience; g_free through mt_store_value_clear */
   size_t len;
@@ -19,7 +19,7 @@
   char *key;      /* set by list only */
 };
 
-enum mt_store_put
+enum mt_store_write_result
 {
   MT_STORE_DONE,     /* took effect */
   MT_STORE_CONFLICT, /* did not: another write came first */
@@ -47,10 +47,10 @@
    */
   bool (*list) (void *ctx, const char *prefix, GPtrArray **out, GError **error);
   /* Compare-and-swap on the index; index 0: only where the key does not exist. */
-  enum mt_store_put (*put) (
+  enum mt_store_write_result (*put) (
       void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error);
   /* Removes every key under the prefix. */
-  enum mt_store_put (*remove) (void *ctx, const char *prefix, GError **error);
+  enum mt_store_write_result (*remove) (void *ctx, const char *prefix, GError **error);
   /* A lease lives for ttl_s after each renewal; its id is g_freed by the caller. */
   bool (*lease_grant) (void *ctx, unsigned ttl_s, char **id, GError **error);
   /* False with MT_ERROR_STALE where the lease has lapsed. */
@@ -58,7 +58,7 @@
   void (*lease_end) (void *ctx, const char *id);
   /* Writes the key and holds it under the lease; CONFLICT while another lease holds it. When the
    * lease lapses the key is free again, its value stays. */
-  enum mt_store_put (*acquire) (
+  enum mt_store_write_result (*acquire) (
       void *ctx, const char *key, struct mt_str value, const char *lease, GError **error);
 };
 
--- a/include/medlartrack/tables.h
+++ b/include/medlartrack/tables.h
@@ -112,7 +112,7 @@
  * What parses formats and parses back equal. */
 char *mt_tables_format (const struct mt_tables *tables, uint64_t version, const char *id);
 /* The same for people to edit: indented, without the log of changes. */
-char *mt_tables_print (const struct mt_tables *tables);
+char *mt_tables_format_pretty (const struct mt_tables *tables);
 /* The document that follows the accepted one (NULL for none), the edit noted in its log. */
 char *mt_tables_format_next (const struct mt_tables *accepted,
                              const struct mt_tables *wanted,
@@ -136,9 +136,9 @@
 /* Whether the accepted tables are the write with that id, or came after it. */
 bool mt_tables_descends_from (const struct mt_tables *accepted, const char *id);
 
-const struct mt_pool *mt_tables_pool (const struct mt_tables *tables, struct mt_str name);
+const struct mt_pool *mt_tables_find_pool (const struct mt_tables *tables, struct mt_str name);
 /* The route for a request, or NULL. */
 const struct mt_route *
-mt_tables_route (const struct mt_tables *tables, struct mt_str method, struct mt_str path);
+mt_tables_match_route (const struct mt_tables *tables, struct mt_str method, struct mt_str path);
 
 #endif
--- a/include/medlartrack/workspaces.h
+++ b/include/medlartrack/workspaces.h
@@ -10,8 +10,8 @@
 #include <glib.h>
 
 /* Bytes of a key and of a workspace's name at most. */
-#define MT_WORKSPACE_KEY_BYTES  256
-#define MT_WORKSPACE_NAME_BYTES 64
+#define MT_WORKSPACE_MAX_KEY_BYTES  256
+#define MT_WORKSPACE_MAX_NAME_BYTES 64
 
 struct mt_workspace
 {
--- a/measure/jobs_scenario.c
+++ b/measure/jobs_scenario.c
@@ -30,7 +30,7 @@
   char *name;
   unsigned pool;
   unsigned team;
-  struct mt_size size;
+  struct mt_job_resources size;
   double left_s; /* run time still needed */
   enum mt_urgency urgency;
   int64_t submitted_us;
@@ -43,7 +43,7 @@
 
 struct kind
 {
-  struct mt_size size;
+  struct mt_job_resources size;
   double declared_factor;
 };
 
@@ -59,16 +59,16 @@
   struct mt_clock_manual *manual;
   struct mt_jobs *jobs;
   GRand *rand;
-  struct mt_size quota; /* of each team */
-  GHashTable *by_name;  /* name -> struct truth */
+  struct mt_job_resources quota; /* of each team */
+  GHashTable *by_name;           /* name -> struct truth */
   GPtrArray *all;
   GPtrArray *running; /* of struct truth */
   GQueue due;         /* of struct due, in order of time */
   struct kind *kinds;
   bool *broken; /* workers that fail everything */
   char **worker_names;
-  struct mt_size *used;    /* of each worker, as its tasks truly use it */
-  uint64_t cpu_over_ticks; /* rounds of workers that wanted more processors than there are */
+  struct mt_job_resources *used; /* of each worker, as its tasks truly use it */
+  uint64_t cpu_over_ticks;       /* rounds of workers that wanted more processors than there are */
   uint64_t memory_over_ticks;
   double arrivals_per_tick;
   uint64_t next_job;
@@ -132,8 +132,9 @@
 {
   const struct mt_jobs_scenario *s = w->scenario;
   double share = (double) s->workers / s->teams;
-  struct mt_size quota = { (uint32_t) (share * WORKER_CPU_MILLI),
-                           (uint32_t) (share * WORKER_MEMORY_MB), (uint32_t) ceil (share) };
+  struct mt_job_resources quota
+      = { (uint32_t) (share * WORKER_CPU_MILLI), (uint32_t) (share * WORKER_MEMORY_MB),
+          (uint32_t) ceil (share) };
 
   for (unsigned i = 0; i < s->teams; i++)
     {
@@ -162,7 +163,7 @@
 }
 
 static struct world *
-create_world (const struct mt_jobs_scenario *s, const struct mt_placement *placement)
+create_world (const struct mt_jobs_scenario *s, const struct mt_placement_policy *placement)
 {
   struct world *w = g_new0 (struct world, 1);
   struct mt_jobs_options options = mt_jobs_default_options ();
@@ -179,7 +180,7 @@
   g_queue_init (&w->due);
   w->broken = g_new0 (bool, s->workers);
   w->worker_names = g_new0 (char *, s->workers + 1);
-  w->used = g_new0 (struct mt_size, s->workers);
+  w->used = g_new0 (struct mt_job_resources, s->workers);
   w->backlog_cpu_s = g_new0 (double, s->pools);
   make_workers (w);
   make_teams (w);
@@ -217,10 +218,10 @@
   return draw < URGENT_PERCENT + BACKGROUND_PERCENT ? MT_URGENCY_BACKGROUND : MT_URGENCY_NORMAL;
 }
 
-static struct mt_size
+static struct mt_job_resources
 declare (const struct kind *k)
 {
-  struct mt_size size
+  struct mt_job_resources size
       = { (uint32_t) CLAMP (k->size.cpu_milli * k->declared_factor, 100, WORKER_CPU_MILLI),
           (uint32_t) CLAMP (k->size.memory_mb * k->declared_factor, 64, WORKER_MEMORY_MB), 0 };
 
@@ -228,12 +229,12 @@
 }
 
 static bool
-is_within_quota (const struct world *w, const char *team, struct mt_size more)
+is_within_quota (const struct world *w, const char *team, struct mt_job_resources more)
 {
-  struct mt_size owned
-      = mt_size_sub (mt_jobs_team_held (w->jobs, team), mt_jobs_team_borrowed (w->jobs, team));
+  struct mt_job_resources owned = mt_job_resources_sub (mt_jobs_team_allocated (w->jobs, team),
+                                                        mt_jobs_team_borrowed (w->jobs, team));
 
-  return mt_size_fits (mt_size_add (owned, more), w->quota);
+  return mt_job_resources_fit (mt_job_resources_add (owned, more), w->quota);
 }
 
 static void
@@ -255,8 +256,8 @@
   k = &w->kinds[kind_number];
   t->name = g_strdup_printf ("job-%" G_GUINT64_FORMAT, w->next_job++);
   spread = g_rand_double_range (w->rand, 1.0 - RUN_SPREAD, 1.0 + RUN_SPREAD);
-  t->size = (struct mt_size){ (uint32_t) (k->size.cpu_milli * spread),
-                              (uint32_t) (k->size.memory_mb * spread), 0 };
+  t->size = (struct mt_job_resources){ (uint32_t) (k->size.cpu_milli * spread),
+                                       (uint32_t) (k->size.memory_mb * spread), 0 };
   t->left_s = -log (1.0 - g_rand_double (w->rand)) * MEAN_RUN_S + 1;
   t->urgency = draw_urgency (w);
   t->submitted_us = now_us (w);
@@ -269,13 +270,13 @@
   };
   if (g_rand_int_range (w->rand, 0, 1000) < IMPOSSIBLE_PER_MILLE)
     {
-      spec.size.accelerators = 100;
+      spec.declared.accelerators = 100;
       spec.kind = "impossible";
       t->ended = true;
     }
   else
     w->backlog_cpu_s[t->pool] += t->left_s * t->size.cpu_milli / 1000.0;
-  t->within_quota = is_within_quota (w, team, spec.size);
+  t->within_quota = is_within_quota (w, team, spec.declared);
   g_ptr_array_add (w->all, t);
   g_hash_table_insert (w->by_name, t->name, t);
   mt_jobs_submit (w->jobs, &spec);
@@ -346,7 +347,7 @@
 stop_running (struct world *w, struct truth *t)
 {
   g_ptr_array_remove_fast (w->running, t);
-  w->used[t->worker] = mt_size_sub (w->used[t->worker], t->size);
+  w->used[t->worker] = mt_job_resources_sub (w->used[t->worker], t->size);
   t->worker = -1;
 }
 
@@ -366,7 +367,7 @@
   if (t->first_start_us == 0)
     t->first_start_us = now_us (w) + DELIVERY_TICKS * TICK_US;
   g_ptr_array_add (w->running, t);
-  w->used[worker] = mt_size_add (w->used[worker], t->size);
+  w->used[worker] = mt_job_resources_add (w->used[worker], t->size);
   report_later (w, t, worker, a->epoch, MT_REPORT_RUNNING, DELIVERY_TICKS);
 }
 
@@ -400,7 +401,7 @@
   double took;
 
   mt_jobs_plan (w->jobs, actions);
-  mt_jobs_changes (w->jobs, batch);
+  mt_jobs_take_changes (w->jobs, batch);
   took = cpu_seconds () - before;
   w->plan_cpu_s += took;
   w->plan_worst_s = MAX (w->plan_worst_s, took);
@@ -535,7 +536,9 @@
 }
 
 static json_t *
-run_policy (const struct mt_jobs_scenario *s, const struct mt_placement *placement, double *bound)
+run_policy (const struct mt_jobs_scenario *s,
+            const struct mt_placement_policy *placement,
+            double *bound)
 {
   size_t before = mallinfo2 ().uordblks;
   struct world *w = create_world (s, placement);
@@ -566,7 +569,7 @@
   json_t *policies = json_object ();
   double bound = 0;
 
-  for (const struct mt_placement *p = mt_placements (); p->name != NULL; p++)
+  for (const struct mt_placement_policy *p = mt_placement_policies (); p->name != NULL; p++)
     json_object_set_new (policies, p->name, run_policy (scenario, p, &bound));
   return json_pack ("{ss sI si si so s{sf}}", "scenario", "jobs", "seed",
                     (json_int_t) scenario->seed, "workers", (int) scenario->workers, "teams",
--- a/net/platform.c
+++ b/net/platform.c
@@ -67,7 +67,7 @@
   if (key == NULL || !json_is_integer (index))
     return false;
   out->found = true;
-  out->held = json_is_string (json_object_get (entry, "Session"));
+  out->leased = json_is_string (json_object_get (entry, "Session"));
   out->key = g_strdup (key);
   out->index = (uint64_t) json_integer_value (index);
   if (encoded != NULL && encoded[0] != '\0')
@@ -283,7 +283,7 @@
 }
 
 /* The service answers a write with "true" or "false". Anything else tells nothing of it. */
-static enum mt_store_put
+static enum mt_store_write_result
 sort_write (const struct mt_http_answer *answer, GError **error)
 {
   if (answer->status == 200 && mt_str_has_prefix (answer->body, MT_STR ("true")))
@@ -294,7 +294,7 @@
   return answer->status >= 400 && answer->status < 500 ? MT_STORE_FAILED : MT_STORE_UNKNOWN;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 write_path (struct mt_platform *platform,
             const char *method,
             const char *path,
@@ -303,7 +303,7 @@
 {
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer;
-  enum mt_store_put result = MT_STORE_UNKNOWN;
+  enum mt_store_write_result result = MT_STORE_UNKNOWN;
 
   switch (call (platform, method, path, body, platform->call_us, arena, &answer, error))
     {
@@ -320,7 +320,7 @@
   return result;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 store_put (void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error)
 {
   g_autofree char *path = g_strdup_printf ("/v1/kv/%s?cas=%" G_GUINT64_FORMAT, key, index);
@@ -328,7 +328,7 @@
   return write_path (ctx, "PUT", path, value, error);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 store_remove (void *ctx, const char *prefix, GError **error)
 {
   g_autofree char *path = g_strdup_printf ("/v1/kv/%s" RECURSE, prefix);
@@ -390,7 +390,7 @@
   write_path (ctx, "PUT", path, MT_STR (""), NULL);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 store_acquire (void *ctx, const char *key, struct mt_str value, const char *lease, GError **error)
 {
   g_autofree char *path = g_strdup_printf ("/v1/kv/%s?acquire=%s", key, lease);
@@ -418,9 +418,9 @@
 {
   struct mt_breaker_options options = { .clock = platform->clock,
                                         .inner = &platform->direct,
-                                        .failures = BREAKER_FAILURES,
-                                        .first_us = BREAKER_FIRST_US,
-                                        .longest_us = BREAKER_LONGEST_US,
+                                        .failure_threshold = BREAKER_FAILURES,
+                                        .min_pause_us = BREAKER_FIRST_US,
+                                        .max_pause_us = BREAKER_LONGEST_US,
                                         .seed = g_random_int () };
 
   return mt_breaker_create (&options);
--- a/net/workers.c
+++ b/net/workers.c
@@ -135,11 +135,12 @@
   return (uint32_t) CLAMP (value, 0, (json_int_t) UINT32_MAX);
 }
 
-static struct mt_size
+static struct mt_job_resources
 read_size (const json_t *object)
 {
-  struct mt_size size = { read_count (object, "cpu_milli"), read_count (object, "memory_mb"),
-                          read_count (object, "accelerators") };
+  struct mt_job_resources size
+      = { read_count (object, "cpu_milli"), read_count (object, "memory_mb"),
+          read_count (object, "accelerators") };
 
   return size;
 }
@@ -231,11 +232,11 @@
 static json_t *
 write_action (const struct mt_job_action *action)
 {
-  return json_pack ("{ss ss ss sI sI si si si}", "action", action_names[action->kind], "job",
-                    action->job, "worker", action->worker, "epoch", (json_int_t) action->epoch,
-                    "lease", (json_int_t) action->lease, "cpu_milli", (int) action->size.cpu_milli,
-                    "memory_mb", (int) action->size.memory_mb, "accelerators",
-                    (int) action->size.accelerators);
+  return json_pack (
+      "{ss ss ss sI sI si si si}", "action", action_names[action->kind], "job", action->job,
+      "worker", action->worker, "epoch", (json_int_t) action->epoch, "lease",
+      (json_int_t) action->lease, "cpu_milli", (int) action->resources.cpu_milli, "memory_mb",
+      (int) action->resources.memory_mb, "accelerators", (int) action->resources.accelerators);
 }
 
 bool
--- a/net/workers.h
+++ b/net/workers.h
@@ -12,7 +12,7 @@
 {
   char *name;
   char *rack;
-  struct mt_size size;
+  struct mt_job_resources size;
   uint64_t lease; /* grows each time the worker starts anew */
   bool alive;     /* its lease has not lapsed */
 };
@@ -23,7 +23,7 @@
   char *job;
   char *worker;
   uint64_t epoch;
-  struct mt_size usage;
+  struct mt_job_resources usage;
   int64_t age_us; /* since it was measured */
 };
 
--- a/tests/base/test_breaker.c
+++ b/tests/base/test_breaker.c
@@ -46,9 +46,9 @@
 {
   struct mt_breaker_options options = { .clock = mt_clock_manual_clock (f->manual),
                                         .inner = fake_store_store (f->fake),
-                                        .failures = 3,
-                                        .first_us = FIRST_US,
-                                        .longest_us = LONGEST_US,
+                                        .failure_threshold = 3,
+                                        .min_pause_us = FIRST_US,
+                                        .max_pause_us = LONGEST_US,
                                         .seed = seed };
 
   return mt_breaker_create (&options);
--- a/tests/config/prop_acceptance.cpp
+++ b/tests/config/prop_acceptance.cpp
@@ -72,9 +72,9 @@
 {
   struct mt_tables *&held = w.held[daemon];
   struct mt_tables *offered = parse (text);
-  enum mt_acceptance verdict = mt_acceptance_judge (held, offered);
+  enum mt_acceptance verdict = mt_acceptance_compare (held, offered);
 
-  if (verdict == MT_ACCEPTANCE_TAKE)
+  if (verdict == MT_ACCEPTANCE_NEWER)
     {
       /* RC_ASSERT evaluates both sides of "||". */
       bool grows = held == nullptr || offered->version > held->version;
--- a/tests/config/prop_tables.cpp
+++ b/tests/config/prop_tables.cpp
@@ -141,7 +141,7 @@
     struct mt_tables *first = parse (document ());
     std::string text = take (mt_tables_format (first, 7, "id"));
     struct mt_tables *second = parse (text);
-    struct mt_tables *printed = parse (take (mt_tables_print (second)));
+    struct mt_tables *printed = parse (take (mt_tables_format_pretty (second)));
 
     RC_ASSERT (mt_tables_same_rows (first, second));
     RC_ASSERT (mt_tables_same_rows (first, printed));
--- a/tests/config/test_acceptance.c
+++ b/tests/config/test_acceptance.c
@@ -35,7 +35,7 @@
 test_acceptance_never_reverts (void **state)
 {
   static const struct case_ cases[] = {
-    { 0, 1, "-", "a", MT_ACCEPTANCE_TAKE },   { 5, 6, "a", "b", MT_ACCEPTANCE_TAKE },
+    { 0, 1, "-", "a", MT_ACCEPTANCE_NEWER },  { 5, 6, "a", "b", MT_ACCEPTANCE_NEWER },
     { 5, 5, "a", "a", MT_ACCEPTANCE_SAME },   { 5, 4, "a", "b", MT_ACCEPTANCE_OLDER },
     { 5, 5, "a", "b", MT_ACCEPTANCE_FORKED },
   };
@@ -46,7 +46,7 @@
           = cases[i].held > 0 ? tables_of (cases[i].held, cases[i].held_id) : NULL;
       struct mt_tables *offered = tables_of (cases[i].offered, cases[i].offered_id);
 
-      assert_int_equal (mt_acceptance_judge (held, offered), cases[i].verdict);
+      assert_int_equal (mt_acceptance_compare (held, offered), cases[i].verdict);
       mt_tables_destroy (held);
       mt_tables_destroy (offered);
     }
@@ -111,8 +111,8 @@
   check_repair (fork, 0, NULL, MT_REPAIR_NOT_NEEDED, "\"fork\"");
   check_repair ("not tables", 0, NULL, MT_REPAIR_NOT_NEEDED, "not tables");
   /* An edit lands between the second read and the write: it stays. */
-  check_repair (older, 2, newer, MT_REPAIR_LOST, "\"newer\"");
-  check_repair (NULL, 2, newer, MT_REPAIR_LOST, "\"newer\"");
+  check_repair (older, 2, newer, MT_REPAIR_CONFLICT, "\"newer\"");
+  check_repair (NULL, 2, newer, MT_REPAIR_CONFLICT, "\"newer\"");
 }
 
 int
--- a/tests/config/test_feed.c
+++ b/tests/config/test_feed.c
@@ -62,7 +62,7 @@
   return store->ops->get (store->ctx, key, out, error);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 put (void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error)
 {
   const struct mt_store *store = fake_store_store (((struct scene *) ctx)->fake);
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -283,7 +283,7 @@
   for (size_t i = 0; i < assign->n_records; i++)
     {
       const mt_assign_record &record = assign->records[i];
-      const mt_pool *pool = mt_tables_pool (tables, mt_str_from (record.pool));
+      const mt_pool *pool = mt_tables_find_pool (tables, mt_str_from (record.pool));
 
       if (pool != nullptr && mt_str_equal (pool->service, service) && record.goal != MT_GOAL_LEAVE
           && (record.state == MT_ASSIGN_DRAINING || record.state == MT_ASSIGN_REBOOTING))
@@ -309,8 +309,9 @@
       for (size_t i = 0; i < names.size (); i++)
         {
           const mt_assign_record *record = mt_assign_find (after, names[i].c_str ());
-          const mt_pool *pool
-              = record != nullptr ? mt_tables_pool (in_force, mt_str_from (record->pool)) : nullptr;
+          const mt_pool *pool = record != nullptr
+                                    ? mt_tables_find_pool (in_force, mt_str_from (record->pool))
+                                    : nullptr;
 
           if (pool == nullptr || !mt_str_equal (pool->service, service))
             continue;
--- a/tests/fakes/fake_store.c
+++ b/tests/fakes/fake_store.c
@@ -151,7 +151,7 @@
   memcpy (out->data, entry->data, entry->len);
   out->len = entry->len;
   out->index = entry->index;
-  out->held = entry->lease != NULL;
+  out->leased = entry->lease != NULL;
   out->key = g_strdup (key);
 }
 
@@ -255,7 +255,7 @@
   return entry == NULL || entry->lease == NULL || strcmp (entry->lease, lease) == 0;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 apply_write (struct fake_store *fake, const struct write *write)
 {
   const struct entry *entry = g_tree_lookup (fake->entries, write->key);
@@ -274,11 +274,11 @@
 }
 
 /* Takes the write over. */
-static enum mt_store_put
+static enum mt_store_write_result
 do_write (struct fake_store *fake, struct write *write, GError **error)
 {
   enum fake_fault fault = begin_call (fake, true);
-  enum mt_store_put result = MT_STORE_UNKNOWN;
+  enum mt_store_write_result result = MT_STORE_UNKNOWN;
 
   if (fault == FAKE_FAULT_NONE)
     result = apply_write (fake, write);
@@ -305,7 +305,7 @@
   return write;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 fake_put (void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error)
 {
   struct write *write = make_write (key, value);
@@ -314,7 +314,7 @@
   return do_write (ctx, write, error);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 fake_remove (void *ctx, const char *prefix, GError **error)
 {
   struct write *write = make_write (prefix, (struct mt_str){ 0 });
@@ -372,7 +372,7 @@
   end_read (fake, fault, NULL);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 fake_acquire (void *ctx, const char *key, struct mt_str value, const char *lease, GError **error)
 {
   struct write *write = make_write (key, value);
--- a/tests/fakes/test_fake_store.c
+++ b/tests/fakes/test_fake_store.c
@@ -38,7 +38,7 @@
   return 0;
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 put (struct fixture *f, uint64_t index)
 {
   return f->store->ops->put (f->store->ctx, "k", MT_STR ("v"), index, NULL);
--- a/tests/fuzz/fuzz_tables.c
+++ b/tests/fuzz/fuzz_tables.c
@@ -29,8 +29,8 @@
   g_assert (since != NULL);
   g_assert (mt_tables_descends_from (next, "next"));
   g_assert (mt_tables_check_change (tables, next, NULL, NULL));
-  g_assert (mt_acceptance_judge (first, next) == MT_ACCEPTANCE_TAKE);
-  g_assert (mt_acceptance_judge (next, first) == MT_ACCEPTANCE_OLDER);
+  g_assert (mt_acceptance_compare (first, next) == MT_ACCEPTANCE_NEWER);
+  g_assert (mt_acceptance_compare (next, first) == MT_ACCEPTANCE_OLDER);
   mt_tables_destroy (first);
   mt_tables_destroy (next);
 }
@@ -50,7 +50,7 @@
       return 0;
     }
   back = reparse (mt_tables_format (tables, tables->version, tables->id.data));
-  printed = reparse (mt_tables_print (tables));
+  printed = reparse (mt_tables_format_pretty (tables));
   g_assert (mt_tables_same_rows (tables, back));
   g_assert (mt_tables_same_rows (tables, printed));
   g_assert (back->version == tables->version && mt_str_equal (back->id, tables->id));
--- a/tests/jobs/property_jobs.cpp
+++ b/tests/jobs/property_jobs.cpp
@@ -139,18 +139,18 @@
     seen[p] = log.size ();
     for (int i = 0; i < worker_count; i++)
       if (workers[i].lapsed)
-        mt_jobs_lose_worker (planners[p], worker_name (i).c_str (), workers[i].lease);
+        mt_jobs_worker_lease_lost (planners[p], worker_name (i).c_str (), workers[i].lease);
   }
 
   void
   check_book (mt_jobs *jobs)
   {
-    mt_size held = mt_jobs_team_held (jobs, "a");
-    mt_size borrowed = mt_jobs_team_borrowed (jobs, "a");
+    mt_job_resources held = mt_jobs_team_allocated (jobs, "a");
+    mt_job_resources borrowed = mt_jobs_team_borrowed (jobs, "a");
 
     RC_ASSERT (held.cpu_milli - borrowed.cpu_milli <= 4500U);
     for (int i = 0; i < worker_count; i++)
-      RC_ASSERT (mt_jobs_worker_taken (jobs, worker_name (i).c_str ()).cpu_milli <= worker_cpu);
+      RC_ASSERT (mt_jobs_worker_allocated (jobs, worker_name (i).c_str ()).cpu_milli <= worker_cpu);
   }
 
   /* Actions go out only once the record of them is the next one in the log: a rival's batch in that
@@ -163,7 +163,7 @@
 
     mt_jobs_plan (planners[p], actions);
     check_book (planners[p]);
-    mt_jobs_changes (planners[p], batch);
+    mt_jobs_take_changes (planners[p], batch);
     if (seen[p] != log.size ())
       rebuild (p);
     else
@@ -308,14 +308,14 @@
         break;
       case 9:
         workers[w].lapsed = true;
-        mt_jobs_lose_worker (planners[p], worker_name (w).c_str (), workers[w].lease);
+        mt_jobs_worker_lease_lost (planners[p], worker_name (w).c_str (), workers[w].lease);
         break;
       case 10:
         if ((r & 0x30) == 0)
           restart_worker (w);
         break;
       case 11:
-        mt_jobs_worker_clean (planners[p], worker_name (w).c_str (), workers[w].lease);
+        mt_jobs_worker_restarted (planners[p], worker_name (w).c_str (), workers[w].lease);
         break;
       case 12:
         mt_clock_manual_advance (manual, 20 * MT_SECOND);
@@ -387,7 +387,7 @@
     {
       mt_job_state state = mt_jobs_state (world.planners[0], job_name (job).c_str ());
 
-      RC_ASSERT (state == MT_JOB_DONE || state == MT_JOB_CANCELLED || state == MT_JOB_BAD);
+      RC_ASSERT (state == MT_JOB_DONE || state == MT_JOB_CANCELLED || state == MT_JOB_POISON);
     }
 }
 
--- a/tests/jobs/test_jobs.c
+++ b/tests/jobs/test_jobs.c
@@ -82,7 +82,7 @@
 report (struct fixture *f,
         const struct mt_job_action *action,
         enum mt_job_report_kind kind,
-        struct mt_size usage)
+        struct mt_job_resources usage)
 {
   struct mt_job_report r
       = { kind,          action->job, action->worker,
@@ -91,7 +91,7 @@
   mt_jobs_report (f->jobs, &r);
 }
 
-static const struct mt_size nothing = { 0, 0, 0 };
+static const struct mt_job_resources nothing = { 0, 0, 0 };
 
 /* A worker's lease lapses while an invoice run is on it. The worker is only paused: started again
  * elsewhere at once, the run would have two copies when the worker wakes. So it waits until the
@@ -107,7 +107,7 @@
   submit (f, "invoices", MT_URGENCY_NORMAL, 2, false);
   plan (f);
   first = *find_action (f, MT_JOB_START, "invoices");
-  mt_jobs_lose_worker (f->jobs, first.worker, 1);
+  mt_jobs_worker_lease_lost (f->jobs, first.worker, 1);
   plan (f);
   assert_null (find_action (f, MT_JOB_START, "invoices"));
   assert_non_null (find_action (f, MT_JOB_FENCE, "invoices"));
@@ -141,7 +141,7 @@
   assert_int_equal (mt_jobs_state (f->jobs, "job"), MT_JOB_STOPPING);
   report (f, &start, MT_REPORT_STOPPED, nothing);
   assert_int_equal (mt_jobs_state (f->jobs, "job"), MT_JOB_CANCELLED);
-  assert_int_equal (mt_jobs_running_on (f->jobs, "w1"), 0);
+  assert_int_equal (mt_jobs_worker_task_count (f->jobs, "w1"), 0);
   mt_clock_manual_advance (f->manual, 3600 * MT_SECOND);
   plan (f);
   assert_int_equal (f->actions->len, 0);
@@ -172,7 +172,7 @@
   submit (f, "giant", MT_URGENCY_URGENT, 9, true);
   submit (f, "small", MT_URGENCY_BACKGROUND, 1, true);
   plan (f);
-  assert_int_equal (mt_jobs_state (f->jobs, "giant"), MT_JOB_NEVER);
+  assert_int_equal (mt_jobs_state (f->jobs, "giant"), MT_JOB_UNSCHEDULABLE);
   assert_non_null (strstr (mt_jobs_reason (f->jobs, "giant"), "9000 thousandths"));
   assert_int_equal (mt_jobs_state (f->jobs, "small"), MT_JOB_RUNNING);
   add_worker (f, "w2", 16);
@@ -192,7 +192,7 @@
   struct mt_job_action yielding;
 
   add_worker (f, "w1", 8);
-  mt_jobs_set_quota (f->jobs, "owner", (struct mt_size){ 8000, 64 * GB, 0 });
+  mt_jobs_set_quota (f->jobs, "owner", (struct mt_job_resources){ 8000, 64 * GB, 0 });
   submit (f, "b1", MT_URGENCY_BACKGROUND, 4, true);
   submit (f, "b2", MT_URGENCY_BACKGROUND, 4, true);
   plan (f);
@@ -217,7 +217,7 @@
   unsigned rounds = 0;
 
   add_worker (f, "w1", 8);
-  mt_jobs_set_quota (f->jobs, "team", (struct mt_size){ 8000, 64 * GB, 0 });
+  mt_jobs_set_quota (f->jobs, "team", (struct mt_job_resources){ 8000, 64 * GB, 0 });
   submit (f, "weekly", MT_URGENCY_BACKGROUND, 8, false);
   for (; mt_jobs_state (f->jobs, "weekly") != MT_JOB_RUNNING && rounds < 500; rounds++)
     {
@@ -307,7 +307,7 @@
           assert_non_null (find_action (f, MT_JOB_START, name));
           report (f, find_action (f, MT_JOB_START, name), MT_REPORT_FAILED, nothing);
         }
-      assert_int_equal (mt_jobs_state (f->jobs, name), MT_JOB_BAD);
+      assert_int_equal (mt_jobs_state (f->jobs, name), MT_JOB_POISON);
     }
   assert_false (mt_jobs_is_quarantined (f->jobs, "w1"));
   assert_false (mt_jobs_is_quarantined (f->jobs, "w2"));
@@ -320,7 +320,7 @@
 test_learned_size_replaces_declared_one (void **state)
 {
   struct fixture *f = *state;
-  struct mt_size seen = { 6000, 2 * GB, 0 };
+  struct mt_job_resources seen = { 6000, 2 * GB, 0 };
 
   add_worker (f, "w1", 8);
   for (int i = 0; i < 5; i++)
@@ -338,7 +338,7 @@
     }
   plan (f);
   assert_int_equal (f->actions->len, 1);
-  assert_int_equal (mt_jobs_worker_taken (f->jobs, "w1").cpu_milli, 6300);
+  assert_int_equal (mt_jobs_worker_allocated (f->jobs, "w1").cpu_milli, 6300);
 }
 
 /* Two jobs declared small use more memory than the worker has. One of them is checkpointed away
@@ -347,7 +347,7 @@
 test_overcommitted_worker_is_relieved (void **state)
 {
   struct fixture *f = *state;
-  struct mt_size seen = { 1000, 40 * GB, 0 };
+  struct mt_job_resources seen = { 1000, 40 * GB, 0 };
   struct mt_job_action a;
   struct mt_job_action b;
 
@@ -379,7 +379,7 @@
   submit (f, "job", MT_URGENCY_NORMAL, 2, false);
   mt_jobs_cancel (f->jobs, "early");
   plan (f);
-  mt_jobs_changes (former, batch);
+  mt_jobs_take_changes (former, batch);
   mt_jobs_destroy (former);
   f->jobs = mt_jobs_create (mt_clock_manual_clock (f->manual), &options);
   add_worker (f, "w1", 8);
@@ -412,9 +412,9 @@
   uint64_t lease = start->lease;
 
   mt_clock_manual_advance (f->manual, 5 * MT_SECOND);
-  mt_jobs_lose_worker (f->jobs, worker, lease);
+  mt_jobs_worker_lease_lost (f->jobs, worker, lease);
   mt_clock_manual_advance (f->manual, 5 * MT_SECOND);
-  mt_jobs_worker_clean (f->jobs, worker, lease + 1);
+  mt_jobs_worker_restarted (f->jobs, worker, lease + 1);
 }
 
 /* All starts of the plan are reported as running. */
@@ -465,7 +465,7 @@
           crashes++;
         }
     }
-  assert_int_equal (mt_jobs_state (f->jobs, "crashing"), MT_JOB_BAD);
+  assert_int_equal (mt_jobs_state (f->jobs, "crashing"), MT_JOB_POISON);
   assert_in_range (crashes, 1, 3);
   assert_int_equal (mt_jobs_state (f->jobs, "good"), MT_JOB_RUNNING);
 }
@@ -555,7 +555,7 @@
       submit (f, "crashing", MT_URGENCY_NORMAL, 1, false);
       assert_true (mt_jobs_replay (f->jobs, (struct mt_str){ batch->str, batch->len }, NULL));
     }
-  assert_int_equal (mt_jobs_state (f->jobs, "crashing"), MT_JOB_BAD);
+  assert_int_equal (mt_jobs_state (f->jobs, "crashing"), MT_JOB_POISON);
   assert_in_range (crashes, 1, 3);
 }
 
--- a/tests/jobs/test_journal.c
+++ b/tests/jobs/test_journal.c
@@ -82,7 +82,7 @@
   g_autoptr (GString) batch = g_string_new (NULL);
 
   mt_jobs_plan (p->jobs, actions);
-  mt_jobs_changes (p->jobs, batch);
+  mt_jobs_take_changes (p->jobs, batch);
   return mt_jobs_journal_append (p->journal, (struct mt_str){ batch->str, batch->len }, NULL);
 }
 
@@ -96,7 +96,7 @@
   struct planner b = create_planner (f, 2);
 
   assert_int_equal (plan_and_record (&a), MT_JOURNAL_RECORDED);
-  assert_int_equal (plan_and_record (&b), MT_JOURNAL_RIVAL);
+  assert_int_equal (plan_and_record (&b), MT_JOURNAL_CONFLICT);
   destroy_planner (&b);
   b = create_planner (f, 2);
   assert_int_equal (mt_jobs_state (b.jobs, "job"), MT_JOB_RUNNING);
@@ -201,7 +201,7 @@
 
   fill_generation (&a);
   fake_store_before_call (f->fake, intrude, &in);
-  assert_int_equal (mt_jobs_journal_compact (a.journal, a.jobs, NULL), MT_JOURNAL_RIVAL);
+  assert_int_equal (mt_jobs_journal_compact (a.journal, a.jobs, NULL), MT_JOURNAL_CONFLICT);
   after = create_planner (f, 3);
   assert_int_equal (mt_jobs_state (after.jobs, "job"), MT_JOB_STOPPING);
   destroy_planner (&a);
--- a/tests/path/test_front.c
+++ b/tests/path/test_front.c
@@ -64,8 +64,9 @@
 static void
 create_claims (struct fixture *f, const struct mt_clock *clock)
 {
-  struct mt_breaker_options breaker
-      = { .clock = clock, .failures = 3, .first_us = MT_SECOND, .longest_us = MT_SECOND };
+  struct mt_breaker_options breaker = {
+    .clock = clock, .failure_threshold = 3, .min_pause_us = MT_SECOND, .max_pause_us = MT_SECOND
+  };
   struct mt_claims_options claims = { .clock = clock };
 
   f->store = fake_store_create (clock);
--- a/tests/process/test_platform.c
+++ b/tests/process/test_platform.c
@@ -64,7 +64,7 @@
   assert_int_equal (harness_status (f->harness, f->service, "PUT", "/fault", NULL, fault), 200);
 }
 
-static enum mt_store_put
+static enum mt_store_write_result
 put (struct mt_platform *platform, const char *value, uint64_t index)
 {
   const struct mt_store *store = mt_platform_store (platform);
