--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -10,37 +10,38 @@
 #define MEMBER_PREFIX     CLUSTER_PREFIX "member/"
 #define LEADERSHIP_PREFIX CLUSTER_PREFIX "leadership/"
 
-/* A daemon that dies is replaced after this; renewed three times within it, so that one lost call
- * or a short stall costs nothing. */
-#define LEASE_MS         1500
-#define RENEW_MS         450
-#define RENEW_TIMEOUT_MS 400
-/* After a renewal without an answer: a lease that the store has paused, or ended, is known sooner.
- */
-#define RENEW_AGAIN_MS 120
-/* Renewals on their way at once; more would only wait behind a store that does not answer. */
-#define MAX_RENEWALS 3U
-/* The lease counts as over this much before it can be, for clocks that run apart. */
-#define SURE_MARGIN_MS 150
-/* A watch on daemons and leaderships waits so long; a change ends the wait. */
-#define WATCH_MS 5000
-/* How late a free leadership may be noticed beyond its rank. */
+/* A crashed daemon is replaced after this time. The lease is renewed three times within it, so that
+ * one lost call or a short stall does no harm. */
+#define LEASE_MS          1500
+#define RENEW_INTERVAL_MS 450
+#define RENEW_TIMEOUT_MS  400
+/* After an unanswered renewal: finds out sooner that the store is back or has ended the lease. */
+#define RENEW_RETRY_MS 120
+/* Renewals in flight at once; more would only queue behind a store that does not answer. */
+#define MAX_RENEWALS_IN_FLIGHT 3U
+/* The lease counts as expired this long before it can be, to allow for clocks that run apart. */
+#define LEASE_MARGIN_MS 150
+/* Longest wait of a watch on members and leaderships; a change ends it. */
+#define WATCH_WAIT_MS 5000
+/* Interval of the periodic check: a free leadership is noticed at most this long after its turn by
+ * rank. */
 #define TICK_MS 60
-/* Where many come first, the later ones step in together: a free leadership is not left for
- * seconds. */
+/* In a large cluster all daemons beyond this rank claim at the same time: a free leadership must
+ * not stay free for seconds. */
 #define MAX_RANK 8U
-/* A write of membership without an answer is of no use later: half a lease. */
-#define TXN_MS 700
+/* Time-out of writes to the store, half a lease: a membership write that takes longer is of no
+ * use. */
+#define TXN_TIMEOUT_MS 700
 
 struct leadership
 {
   char *name;
-  int64_t token;    /* ours; 0 */
-  int64_t revision; /* of the key as last seen; 0: free */
-  char *holder;     /* its address */
+  int64_t token;    /* fencing token while this daemon holds it, else 0 */
+  int64_t revision; /* of the key as last seen; 0 if the leadership is free */
+  char *holder;     /* address of the holder */
   int64_t free_since;
-  bool trying;
-  bool wanted;
+  bool call_in_flight;
+  bool configured;
 };
 
 struct member
@@ -60,24 +61,24 @@
   double cores;
   struct mt_watcher *watcher;
   struct mt_timer *tick;
-  GHashTable *members;     /* name to struct member */
-  GHashTable *leaderships; /* name to struct leadership */
+  GHashTable *members;     /* name -> struct member */
+  GHashTable *leaderships; /* name -> struct leadership */
   bool listed;
-  int64_t joined_at; /* when our own key was written last */
+  int64_t joined_at; /* when this daemon's member key was last written */
 
   int64_t lease;
-  int64_t sure_until;
-  int64_t renewed; /* when the last renewal was sent */
-  int64_t renew_sent;
-  unsigned renewing; /* renewals on their way */
-  bool unanswered;   /* the last renewal */
-  bool granting;
+  int64_t lease_valid_until;
+  int64_t renewed; /* unused */
+  int64_t renew_sent_at;
+  unsigned renewals_in_flight;
+  bool last_renewal_unanswered;
+  bool grant_in_flight;
   bool joined;
-  bool joining;
+  bool join_in_flight;
 
   bool leaving;
-  void (*left) (void *ctx);
-  void *left_ctx;
+  void (*leave_done) (void *ctx);
+  void *leave_ctx;
 };
 
 char *
@@ -89,71 +90,71 @@
 static void
 free_leadership (void *data)
 {
-  struct leadership *d = data;
+  struct leadership *l = data;
 
-  g_free (d->holder);
-  g_free (d->name);
-  g_free (d);
+  g_free (l->holder);
+  g_free (l->name);
+  g_free (l);
 }
 
 static struct leadership *
 get_leadership (struct mt_cluster *c, const char *name)
 {
-  struct leadership *d = g_hash_table_lookup (c->leaderships, name);
+  struct leadership *l = g_hash_table_lookup (c->leaderships, name);
 
-  if (d != NULL)
-    return d;
-  d = g_new0 (struct leadership, 1);
-  d->name = g_strdup (name);
-  d->free_since = mt_loop_now ();
-  g_hash_table_insert (c->leaderships, d->name, d);
-  return d;
+  if (l != NULL)
+    return l;
+  l = g_new0 (struct leadership, 1);
+  l->name = g_strdup (name);
+  l->free_since = mt_loop_now ();
+  g_hash_table_insert (c->leaderships, l->name, l);
+  return l;
 }
 
 static void
-lose (struct mt_cluster *c, struct leadership *d, const char *why)
+drop_leadership (struct mt_cluster *c, struct leadership *l, const char *why)
 {
-  if (d->token == 0)
+  if (l->token == 0)
     return;
-  d->token = 0;
-  c->options.lost (c->options.ctx, d->name, why);
+  l->token = 0;
+  c->options.lost (c->options.ctx, l->name, why);
 }
 
 static void
-lose_all (struct mt_cluster *c, const char *why)
+drop_all_leaderships (struct mt_cluster *c, const char *why)
 {
   GHashTableIter it;
-  struct leadership *d;
+  struct leadership *l;
 
   g_hash_table_iter_init (&it, c->leaderships);
-  while (g_hash_table_iter_next (&it, NULL, (void **) &d))
-    lose (c, d, why);
+  while (g_hash_table_iter_next (&it, NULL, (void **) &l))
+    drop_leadership (c, l, why);
 }
 
-/* ---- view ---- */
+/* ---- state of the cluster ---- */
 
 static void
-see_leadership (struct mt_cluster *c, const char *name, const struct mt_kv_item *item)
+update_leadership (struct mt_cluster *c, const char *name, const struct mt_kv_item *item)
 {
-  struct leadership *d = get_leadership (c, name);
+  struct leadership *l = get_leadership (c, name);
 
   if (item->deleted)
     {
-      if (d->revision == 0 || (item->revision != 0 && item->revision < d->revision))
+      if (l->revision == 0 || (item->revision != 0 && item->revision < l->revision))
         return;
-      d->revision = 0;
-      d->free_since = mt_loop_now ();
-      g_clear_pointer (&d->holder, g_free);
-      lose (c, d, "key gone");
+      l->revision = 0;
+      l->free_since = mt_loop_now ();
+      g_clear_pointer (&l->holder, g_free);
+      drop_leadership (c, l, "the leadership key was deleted");
       return;
     }
-  if (item->revision < d->revision)
+  if (item->revision < l->revision)
     return;
-  d->revision = item->revision;
-  g_free (d->holder);
-  d->holder = g_strndup (item->value.data, item->value.len);
-  if (d->token != 0 && item->revision > d->token)
-    lose (c, d, "taken by another");
+  l->revision = item->revision;
+  g_free (l->holder);
+  l->holder = g_strndup (item->value.data, item->value.len);
+  if (l->token != 0 && item->revision > l->token)
+    drop_leadership (c, l, "another daemon claimed it");
 }
 
 static void
@@ -168,7 +169,7 @@
 
 /* "IP:PORT ZONE CORES" */
 static void
-see_member (struct mt_cluster *c, const char *name, struct mt_str value)
+update_member (struct mt_cluster *c, const char *name, struct mt_str value)
 {
   g_autofree char *text = g_strndup (value.data, value.len);
   g_auto (GStrv) words = g_strsplit (text, " ", 3);
@@ -187,13 +188,13 @@
   struct mt_cluster *c = ctx;
 
   if (g_str_has_prefix (item->key, LEADERSHIP_PREFIX))
-    see_leadership (c, item->key + strlen (LEADERSHIP_PREFIX), item);
+    update_leadership (c, item->key + strlen (LEADERSHIP_PREFIX), item);
   else if (!g_str_has_prefix (item->key, MEMBER_PREFIX))
     return;
   else if (item->deleted)
     g_hash_table_remove (c->members, item->key + strlen (MEMBER_PREFIX));
   else
-    see_member (c, item->key + strlen (MEMBER_PREFIX), item->value);
+    update_member (c, item->key + strlen (MEMBER_PREFIX), item->value);
 }
 
 static void
@@ -204,33 +205,33 @@
 
 /* ---- lease ---- */
 
-/* The keys under the lease went with it. Whoever had a leadership takes it again without waiting
- * for its rank: after an outage that ended all leases nobody else is ahead of it. */
+/* The keys under an ended lease are gone. A daemon that held a leadership claims it again without
+ * waiting for its rank: after an outage that ended all leases nobody is ahead of it. */
 static void
-free_own_keys (struct mt_cluster *c)
+clear_own_keys (struct mt_cluster *c)
 {
   GHashTableIter it;
-  struct leadership *d;
+  struct leadership *l;
 
   g_hash_table_iter_init (&it, c->leaderships);
-  while (g_hash_table_iter_next (&it, NULL, (void **) &d))
+  while (g_hash_table_iter_next (&it, NULL, (void **) &l))
     {
-      if (d->token == 0 || d->revision != d->token)
+      if (l->token == 0 || l->revision != l->token)
         continue;
-      d->revision = 0;
-      d->free_since = 0;
-      g_clear_pointer (&d->holder, g_free);
+      l->revision = 0;
+      l->free_since = 0;
+      g_clear_pointer (&l->holder, g_free);
     }
 }
 
 static void
 drop_lease (struct mt_cluster *c, const char *why)
 {
-  free_own_keys (c);
+  clear_own_keys (c);
   c->lease = 0;
-  c->sure_until = 0;
+  c->lease_valid_until = 0;
   c->joined = false;
-  lose_all (c, why);
+  drop_all_leaderships (c, why);
 }
 
 struct renewal
@@ -241,36 +242,36 @@
 };
 
 static void
-on_kept (void *data, const struct mt_kv_reply *reply)
+on_renewed (void *data, const struct mt_kv_reply *reply)
 {
   struct renewal *r = data;
   struct mt_cluster *c = r->cluster;
   int64_t ttl = reply->ttl_ms > 0 ? reply->ttl_ms : LEASE_MS;
 
-  c->renewing--;
-  c->unanswered = reply->status != MT_KV_OK && reply->status != MT_KV_MISSING;
+  c->renewals_in_flight--;
+  c->last_renewal_unanswered = reply->status != MT_KV_OK && reply->status != MT_KV_MISSING;
   if (c->lease == r->lease && reply->status == MT_KV_MISSING)
-    drop_lease (c, "lease ended");
+    drop_lease (c, "the lease expired");
   else if (c->lease == r->lease && reply->status == MT_KV_OK)
-    c->sure_until = MAX (c->sure_until, r->sent + ttl - SURE_MARGIN_MS);
+    c->lease_valid_until = MAX (c->lease_valid_until, r->sent + ttl - LEASE_MARGIN_MS);
   g_free (r);
 }
 
-/* While renewals get no answer a few are on their way at a time: that the store is back is known at
- * once, and not after the last one's time-out. */
+/* While renewals are not answered, several are in flight at a time: the daemon then notices at once
+ * that the store is back, and not only after the last renewal's time-out. */
 static void
-renew (struct mt_cluster *c, int64_t now)
+renew_lease (struct mt_cluster *c, int64_t now)
 {
   struct renewal *r;
 
-  if (c->renewing >= (c->unanswered ? MAX_RENEWALS : 1U)
-      || now - c->renew_sent < (c->unanswered ? RENEW_AGAIN_MS : RENEW_MS))
+  if (c->renewals_in_flight >= (c->last_renewal_unanswered ? MAX_RENEWALS_IN_FLIGHT : 1U)
+      || now - c->renew_sent_at < (c->last_renewal_unanswered ? RENEW_RETRY_MS : RENEW_INTERVAL_MS))
     return;
   r = g_new0 (struct renewal, 1);
   *r = (struct renewal){ c, c->lease, now };
-  c->renewing++;
-  c->renew_sent = now;
-  c->kv.ops->renew (c->kv.ctx, c->lease, RENEW_TIMEOUT_MS, on_kept, r);
+  c->renewals_in_flight++;
+  c->renew_sent_at = now;
+  c->kv.ops->renew (c->kv.ctx, c->lease, RENEW_TIMEOUT_MS, on_renewed, r);
 }
 
 static void
@@ -278,20 +279,21 @@
 {
   struct mt_cluster *c = data;
 
-  c->granting = false;
+  c->grant_in_flight = false;
   if (reply->status != MT_KV_OK || reply->lease == 0)
     return;
   c->lease = reply->lease;
-  c->sure_until = c->renew_sent + (reply->ttl_ms > 0 ? reply->ttl_ms : LEASE_MS) - SURE_MARGIN_MS;
+  c->lease_valid_until
+      = c->renew_sent_at + (reply->ttl_ms > 0 ? reply->ttl_ms : LEASE_MS) - LEASE_MARGIN_MS;
 }
 
 static void
-ask_lease (struct mt_cluster *c, int64_t now)
+request_lease (struct mt_cluster *c, int64_t now)
 {
-  if (c->granting || now - c->renew_sent < RENEW_AGAIN_MS)
+  if (c->grant_in_flight || now - c->renew_sent_at < RENEW_RETRY_MS)
     return;
-  c->granting = true;
-  c->renew_sent = now;
+  c->grant_in_flight = true;
+  c->renew_sent_at = now;
   c->kv.ops->grant (c->kv.ctx, LEASE_MS, on_granted, c);
 }
 
@@ -302,45 +304,45 @@
 {
   struct mt_cluster *c = data;
 
-  c->joining = false;
+  c->join_in_flight = false;
   c->joined = reply->status == MT_KV_OK && c->lease != 0;
   if (c->joined)
     c->joined_at = mt_loop_now ();
   if (reply->status == MT_KV_MISSING)
-    drop_lease (c, "lease ended");
+    drop_lease (c, "the lease expired");
 }
 
 static void
-join (struct mt_cluster *c)
+join_cluster (struct mt_cluster *c)
 {
   g_autofree char *key = g_strconcat (MEMBER_PREFIX, c->name, NULL);
   g_autofree char *value = g_strdup_printf ("%s %s %g", c->address, c->zone, c->cores);
   struct mt_kv_put put = { .key = key, .value = mt_str_from (value), .lease = c->lease };
   struct mt_kv_txn txn = { .puts = &put, .n_puts = 1 };
 
-  if (c->joining)
+  if (c->join_in_flight)
     return;
-  c->joining = true;
-  mt_kv_write (&c->kv, &txn, TXN_MS, on_joined, c);
+  c->join_in_flight = true;
+  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_joined, c);
 }
 
 /* ---- leaderships ---- */
 
 static unsigned
-held_by (struct mt_cluster *c, const char *address)
+count_held_by (struct mt_cluster *c, const char *address)
 {
   GHashTableIter it;
-  struct leadership *d;
+  struct leadership *l;
   unsigned n = 0;
 
   g_hash_table_iter_init (&it, c->leaderships);
-  while (g_hash_table_iter_next (&it, NULL, (void **) &d))
-    n += d->wanted && g_strcmp0 (d->holder, address) == 0;
+  while (g_hash_table_iter_next (&it, NULL, (void **) &l))
+    n += l->configured && g_strcmp0 (l->holder, address) == 0;
   return n;
 }
 
 static unsigned
-rank (struct mt_cluster *c, const struct leadership *d)
+own_rank (struct mt_cluster *c, const struct leadership *l)
 {
   guint n = g_hash_table_size (c->members);
   struct mt_leader_candidate *members = g_new0 (struct mt_leader_candidate, n + 1);
@@ -349,17 +351,17 @@
   const char *name;
   const struct member *m;
   size_t at = 0;
-  size_t self = n; /* where this daemon's own key is not seen yet */
+  size_t self = n; /* this daemon's own key is not seen yet */
 
   g_hash_table_iter_init (&it, c->members);
   for (; g_hash_table_iter_next (&it, (void **) &name, (void **) &m); at++)
     {
-      members[at] = (struct mt_leader_candidate){ name, m->cores, held_by (c, m->address) };
+      members[at] = (struct mt_leader_candidate){ name, m->cores, count_held_by (c, m->address) };
       if (strcmp (name, c->name) == 0)
         self = at;
     }
-  members[n] = (struct mt_leader_candidate){ c->name, c->cores, held_by (c, c->address) };
-  before = mt_leader_rank (d->name, members, self == n ? n + 1 : n, self);
+  members[n] = (struct mt_leader_candidate){ c->name, c->cores, count_held_by (c, c->address) };
+  before = mt_leader_rank (l->name, members, self == n ? n + 1 : n, self);
   g_free (members);
   return MIN (before, MAX_RANK);
 }
@@ -372,115 +374,115 @@
 };
 
 static struct attempt *
-new_attempt (struct mt_cluster *c, struct leadership *d)
+new_attempt (struct mt_cluster *c, struct leadership *l)
 {
   struct attempt *a = g_new0 (struct attempt, 1);
 
-  d->trying = true;
-  *a = (struct attempt){ c, g_strdup (d->name), c->lease };
+  l->call_in_flight = true;
+  *a = (struct attempt){ c, g_strdup (l->name), c->lease };
   return a;
 }
 
-/* Returns the leadership that it was about. */
+/* Frees the attempt. Returns its leadership. */
 static struct leadership *
 end_attempt (struct attempt *a)
 {
-  struct leadership *d = get_leadership (a->cluster, a->leadership);
+  struct leadership *l = get_leadership (a->cluster, a->leadership);
 
-  d->trying = false;
+  l->call_in_flight = false;
   g_free (a->leadership);
   g_free (a);
-  return d;
+  return l;
 }
 
 static void
-on_tried (void *data, const struct mt_kv_reply *reply)
+on_claimed (void *data, const struct mt_kv_reply *reply)
 {
   struct attempt *a = data;
   struct mt_cluster *c = a->cluster;
   bool same_lease = c->lease == a->lease;
-  struct leadership *d = end_attempt (a);
+  struct leadership *l = end_attempt (a);
 
-  if (reply->status == MT_KV_OK && same_lease && reply->revision >= d->revision)
+  if (reply->status == MT_KV_OK && same_lease && reply->revision >= l->revision)
     {
-      d->token = d->revision = reply->revision;
-      g_free (d->holder);
-      d->holder = g_strdup (c->address);
-      c->options.gained (c->options.ctx, d->name, d->token);
+      l->token = l->revision = reply->revision;
+      g_free (l->holder);
+      l->holder = g_strdup (c->address);
+      c->options.gained (c->options.ctx, l->name, l->token);
     }
   else if (reply->status == MT_KV_MISSING)
-    drop_lease (c, "lease ended");
+    drop_lease (c, "the lease expired");
   else if (reply->status == MT_KV_CONFLICT)
     for (size_t i = 0; i < reply->n_items; i++)
       if (g_str_has_prefix (reply->items[i].key, LEADERSHIP_PREFIX) && reply->items[i].revision > 0)
         {
-          see_leadership (c, d->name, &reply->items[i]);
-          /* A write of ours whose answer was lost: the key is ours. */
-          if (d->token == 0 && same_lease && g_strcmp0 (d->holder, c->address) == 0)
+          update_leadership (c, l->name, &reply->items[i]);
+          /* An earlier write succeeded but its answer was lost: the key is this daemon's. */
+          if (l->token == 0 && same_lease && g_strcmp0 (l->holder, c->address) == 0)
             {
-              d->token = d->revision;
-              c->options.gained (c->options.ctx, d->name, d->token);
+              l->token = l->revision;
+              c->options.gained (c->options.ctx, l->name, l->token);
             }
         }
 }
 
 static void
-try_leadership (struct mt_cluster *c, struct leadership *d)
+claim_leadership (struct mt_cluster *c, struct leadership *l)
 {
-  g_autofree char *key = mt_cluster_leader_key (d->name);
+  g_autofree char *key = mt_cluster_leader_key (l->name);
   struct mt_kv_expect expect = { key, 0 };
   struct mt_kv_put put = { .key = key, .value = mt_str_from (c->address), .lease = c->lease };
   struct mt_kv_txn txn = { &expect, 1, &put, 1, NULL, 0 };
 
-  mt_kv_write (&c->kv, &txn, TXN_MS, on_tried, new_attempt (c, d));
+  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_claimed, new_attempt (c, l));
 }
 
 static void
-on_cleared (void *data, const struct mt_kv_reply *reply)
+on_stale_key_deleted (void *data, const struct mt_kv_reply *reply)
 {
   end_attempt (data);
 }
 
-/* A key that names this daemon though it does not have the leadership is of its life before a
- * restart, or of a leadership that it gave up. Nobody else would take it before that lease is over.
- */
+/* Deletes a key that names this daemon although it does not hold the leadership: the key is from
+ * before a restart, or the leadership was given up. No other daemon would claim it before that
+ * lease expires. */
 static void
-clear_leadership (struct mt_cluster *c, struct leadership *d)
+delete_stale_key (struct mt_cluster *c, struct leadership *l)
 {
-  g_autofree char *key = mt_cluster_leader_key (d->name);
+  g_autofree char *key = mt_cluster_leader_key (l->name);
   const char *remove = key;
-  struct mt_kv_expect expect = { key, d->revision };
+  struct mt_kv_expect expect = { key, l->revision };
   struct mt_kv_txn txn = { &expect, 1, NULL, 0, &remove, 1 };
 
-  mt_kv_write (&c->kv, &txn, TXN_MS, on_cleared, new_attempt (c, d));
+  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_stale_key_deleted, new_attempt (c, l));
 }
 
 static void
-try_leaderships (struct mt_cluster *c, int64_t now)
+claim_free_leaderships (struct mt_cluster *c, int64_t now)
 {
   GHashTableIter it;
-  struct leadership *d;
+  struct leadership *l;
 
   if (!c->listed || !mt_cluster_lease_is_valid (c))
     return;
   g_hash_table_iter_init (&it, c->leaderships);
-  while (g_hash_table_iter_next (&it, NULL, (void **) &d))
+  while (g_hash_table_iter_next (&it, NULL, (void **) &l))
     {
-      struct mt_leader_candidacy turn = { .was_leader = d->free_since == 0,
-                                          .free_since = d->free_since,
-                                          .joined_at = c->joined_at };
+      struct mt_leader_candidacy candidacy = { .was_leader = l->free_since == 0,
+                                               .free_since = l->free_since,
+                                               .joined_at = c->joined_at };
 
-      if (!d->wanted || d->trying || d->token != 0)
+      if (!l->configured || l->call_in_flight || l->token != 0)
         continue;
-      if (g_strcmp0 (d->holder, c->address) == 0)
-        clear_leadership (c, d);
-      if (d->revision != 0)
+      if (g_strcmp0 (l->holder, c->address) == 0)
+        delete_stale_key (c, l);
+      if (l->revision != 0)
         continue;
-      turn.rank = rank (c, d);
-      if (mt_leader_may_acquire (&turn, now))
+      candidacy.rank = own_rank (c, l);
+      if (mt_leader_may_acquire (&candidacy, now))
         {
-          try_leadership (c, d);
-          return; /* one at a time, so that they spread by who has how many */
+          claim_leadership (c, l);
+          return; /* one at a time: the number held counts for the next rank, which spreads them */
         }
     }
 }
@@ -496,14 +498,14 @@
     return;
   if (c->lease == 0)
     {
-      ask_lease (c, now);
+      request_lease (c, now);
       return;
     }
-  renew (c, now);
+  renew_lease (c, now);
   if (!c->joined)
-    join (c);
+    join_cluster (c);
   else
-    try_leaderships (c, now);
+    claim_free_leaderships (c, now);
 }
 
 /* ---- public ---- */
@@ -515,7 +517,7 @@
 {
   struct mt_cluster *c = g_new0 (struct mt_cluster, 1);
   struct mt_watcher_options watch = { .prefix = CLUSTER_PREFIX,
-                                      .wait_ms = WATCH_MS,
+                                      .wait_ms = WATCH_WAIT_MS,
                                       .on_item = on_item,
                                       .on_listed = on_listed,
                                       .ctx = c };
@@ -553,50 +555,50 @@
 mt_cluster_set_leaderships (struct mt_cluster *c, const char *const *names)
 {
   GHashTableIter it;
-  struct leadership *d;
+  struct leadership *l;
 
   for (const char *const *name = names; *name != NULL; name++)
     get_leadership (c, *name);
   g_hash_table_iter_init (&it, c->leaderships);
-  while (g_hash_table_iter_next (&it, NULL, (void **) &d))
-    d->wanted = g_strv_contains (names, d->name);
+  while (g_hash_table_iter_next (&it, NULL, (void **) &l))
+    l->configured = g_strv_contains (names, l->name);
 }
 
 const char *
 mt_cluster_holder (const struct mt_cluster *c, const char *leadership)
 {
-  const struct leadership *d = g_hash_table_lookup (c->leaderships, leadership);
+  const struct leadership *l = g_hash_table_lookup (c->leaderships, leadership);
 
-  return d != NULL ? d->holder : NULL;
+  return l != NULL ? l->holder : NULL;
 }
 
 int64_t
 mt_cluster_token (const struct mt_cluster *c, const char *leadership)
 {
-  const struct leadership *d = g_hash_table_lookup (c->leaderships, leadership);
+  const struct leadership *l = g_hash_table_lookup (c->leaderships, leadership);
 
-  return d != NULL ? d->token : 0;
+  return l != NULL ? l->token : 0;
 }
 
 bool
 mt_cluster_lease_is_valid (const struct mt_cluster *c)
 {
-  return c->lease != 0 && mt_loop_now () < c->sure_until;
+  return c->lease != 0 && mt_loop_now () < c->lease_valid_until;
 }
 
 int64_t
 mt_cluster_lease_invalid_ms (const struct mt_cluster *c)
 {
-  return c->lease != 0 ? MAX (mt_loop_now () - c->sure_until, 0) : INT64_MAX;
+  return c->lease != 0 ? MAX (mt_loop_now () - c->lease_valid_until, 0) : INT64_MAX;
 }
 
 void
 mt_cluster_drop_leadership (struct mt_cluster *c, const char *leadership, const char *why)
 {
-  struct leadership *d = g_hash_table_lookup (c->leaderships, leadership);
+  struct leadership *l = g_hash_table_lookup (c->leaderships, leadership);
 
-  if (d != NULL)
-    lose (c, d, why);
+  if (l != NULL)
+    drop_leadership (c, l, why);
 }
 
 char **
@@ -641,12 +643,12 @@
 }
 
 static void
-on_ended (void *data, const struct mt_kv_reply *reply)
+on_revoked (void *data, const struct mt_kv_reply *reply)
 {
   struct mt_cluster *c = data;
 
-  if (c->left != NULL)
-    c->left (c->left_ctx);
+  if (c->leave_done != NULL)
+    c->leave_done (c->leave_ctx);
 }
 
 void
@@ -655,11 +657,11 @@
   int64_t lease = c->lease;
 
   c->leaving = true;
-  c->left = done;
-  c->left_ctx = ctx;
-  drop_lease (c, "this daemon stops");
+  c->leave_done = done;
+  c->leave_ctx = ctx;
+  drop_lease (c, "this daemon is stopping");
   if (lease != 0)
-    c->kv.ops->revoke (c->kv.ctx, lease, on_ended, c);
+    c->kv.ops->revoke (c->kv.ctx, lease, on_revoked, c);
   else
     done (ctx);
 }
--- a/fleet/cluster.h
+++ b/fleet/cluster.h
@@ -1,6 +1,6 @@
-/* Which daemons there are and who has which leadership, by keys in the store under one lease a
- * daemon. A leadership is had by whoever created its key; the key's revision is the fencing token.
- * On the loop's one thread. */
+/* The daemons of the cluster and the holders of its leaderships, kept as keys in the store under
+ * one lease per daemon. A leadership belongs to the daemon that created its key; the key's revision
+ * is the fencing token. Not thread-safe: runs on the loop's thread. */
 #ifndef MT_FLEET_CLUSTER_H
 #define MT_FLEET_CLUSTER_H
 
@@ -11,11 +11,11 @@
 
 struct mt_cluster_options
 {
-  const char *name;    /* of this daemon */
+  const char *name;    /* this daemon's name */
   const char *address; /* IP:PORT for other daemons */
   const char *zone;
-  double cores; /* of this machine: leaderships go where there are most */
-  /* May be called from within any other function of this header. */
+  double cores; /* cores of this machine; leaderships prefer the daemons with the most */
+  /* May be called from within any other function of this header. token: the fencing token. */
   void (*gained) (void *ctx, const char *leadership, int64_t token);
   void (*lost) (void *ctx, const char *leadership, const char *why);
   void *ctx;
@@ -26,30 +26,32 @@
                                       const struct mt_cluster_options *options);
 void mt_cluster_destroy (struct mt_cluster *cluster);
 
-/* The leaderships that there are; those that are no longer named are given back. */
+/* Sets the leaderships that this daemon competes for. Does not drop one that is no longer named. */
 void mt_cluster_set_leaderships (struct mt_cluster *cluster, const char *const *names);
-/* Address of who has it; NULL where nobody is known to. */
+/* Address of the leadership's holder, as last seen; NULL if it is not known. Valid until the next
+ * change. */
 const char *mt_cluster_holder (const struct mt_cluster *cluster, const char *leadership);
-/* 0 where this daemon does not have it. */
+/* Fencing token of the leadership; 0 if this daemon does not hold it. */
 int64_t mt_cluster_token (const struct mt_cluster *cluster, const char *leadership);
-/* The leadership's key, for the condition of a write. */
+/* Key of the leadership in the store, as a precondition of writes. Free with g_free. */
 char *mt_cluster_leader_key (const char *leadership);
-/* This daemon's lease has not run out by its own clock, counted from when its last renewal was
- * sent. */
+/* Whether this daemon's lease is still valid by the local clock, counted from when its last renewal
+ * was sent. */
 bool mt_cluster_lease_is_valid (const struct mt_cluster *cluster);
-/* How long that has not been so; a large number where it never was. */
+/* Milliseconds since the lease ceased to be valid, 0 while it is valid; INT64_MAX if there is no
+ * lease. */
 int64_t mt_cluster_lease_invalid_ms (const struct mt_cluster *cluster);
-/* Somebody else was seen to have it, or the key is gone. */
+/* Drops the leadership locally: another daemon holds it or its key is gone. */
 void
 mt_cluster_drop_leadership (struct mt_cluster *cluster, const char *leadership, const char *why);
-/* Addresses of the other daemons, NULL-terminated; free with g_strfreev. */
+/* Addresses of the other daemons, NULL-terminated. Free with g_strfreev. */
 char **mt_cluster_peers (const struct mt_cluster *cluster);
-/* What the daemon there sees would not be so just because this data centre is cut off: it is in
- * another one, or there is only one. */
+/* Whether the daemon at this address can confirm a store outage: it is in another data centre, so
+ * that a partition of this one does not affect it, or there is no other data centre. */
 bool mt_cluster_can_confirm_outage (const struct mt_cluster *cluster, const char *address);
 size_t mt_cluster_size (const struct mt_cluster *cluster);
-/* Gives everything back, so that others need not wait for the lease to run out; done is called
- * once the store has heard, or can't be told. */
+/* Revokes the lease, so that the others need not wait for it to expire. done is called once the
+ * store has answered or the call has failed. */
 void mt_cluster_leave (struct mt_cluster *cluster, void (*done) (void *ctx), void *ctx);
 
 #endif
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -24,30 +24,32 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A change of the configuration is in force within 2 s also where a watch went silent: it is
- * noticed after its wait, and asked again. */
+/* Longest wait of the configuration's watch. A change must be in force within 2 s even if a watch
+ * went silent, which is noticed after this wait. */
 #define CONFIG_WAIT_MS 1000
-/* Without a word from the store for so long a daemon can accept nothing: it isn't ready. */
+/* A daemon that has had no answer from the store for this long can accept nothing and is not
+ * ready. */
 #define STORE_SILENT_MS 2500
-/* How late it is noticed that a daemon is ready, or no longer. */
+/* Interval of housekeeping; readiness, and whether the store is lost, lag by up to this. */
 #define HOUSEKEEPING_MS 500
-/* A line on each pool's load this often. */
-#define LOADS_MS 1000
-/* A stopping daemon serves so long after it has said that it isn't ready: two checks a second apart
- * and their time on the way. */
+/* Interval of the POOL_LOAD events. */
+#define LOAD_LOG_INTERVAL_MS 1000
+/* A stopping daemon goes on serving for this long after it reports that it is not ready: two
+ * readiness checks a second apart plus their time on the network. */
 #define LINGER_MS 2600
-/* Of the time until it is killed, so much is left for the answers in flight to arrive. */
+/* Part of the grace period that is kept for the answers in flight to arrive before the daemon is
+ * killed. */
 #define GRACE_MARGIN_MS 500
-/* Leases last well beyond a takeover: 1.5 s until a dead leader's lease is over, under 1 s until
- * its successor has held every worker. */
+/* Duration of worker leases. It must be well above that of a takeover: 1.5 s until a dead leader's
+ * lease expires, then under 1 s until its successor has renewed the lease of every worker. */
 #define HOLD_MS 4500
 
 static const char *const fleet_leadership = "fleet";
 
 struct mt_fleet
 {
-  const struct mt_fleet_settings *settings; /* in force */
-  struct mt_fleet_settings *reread;         /* ours to free, unless it is still the first */
+  const struct mt_fleet_settings *settings;    /* currently in use */
+  struct mt_fleet_settings *reloaded_settings; /* owned; NULL before the first reload */
   char *settings_path;
   struct event_base *base;
   struct mt_journal *journal;
@@ -56,11 +58,11 @@
   struct mt_uplink uplink;
   struct mt_calls *calls;
   struct mt_adapter *platform;
-  struct mt_codec words;
+  struct mt_codec codec;
   struct mt_cluster *cluster;
   struct mt_mesh *mesh;
   struct mt_relay *relay;
-  struct mt_peer_service neighbours;
+  struct mt_peer_service peer_service;
   struct mt_frontend *frontend;
   struct mt_http_front *front;
   struct mt_http_front *ready;
@@ -68,14 +70,14 @@
   struct mt_roster *roster;
   struct mt_watcher *config_watch;
   struct mt_fleet_config *config;
-  GHashTable *pools;              /* name to struct mt_pool, those led here */
-  struct mt_fleet_leader *leader; /* NULL unless this daemon has the fleet's leadership */
+  GHashTable *pools;              /* name -> struct mt_pool, the pools led by this daemon */
+  struct mt_fleet_leader *leader; /* NULL unless this daemon holds the fleet's leadership */
   struct mt_timer *housekeeping;
   struct event *signals[4];
   bool store_lost;
-  int64_t loads_told;
+  int64_t loads_logged_at;
   bool stopping;
-  bool left;
+  bool has_left;
   int64_t stop_began;
 };
 
@@ -141,7 +143,7 @@
     }
 }
 
-/* What the configuration says of a pool that is led here. */
+/* Applies the configuration to a pool that this daemon leads. */
 static void
 configure_pool (struct mt_fleet *f, const char *name, struct mt_pool *pool)
 {
@@ -164,7 +166,7 @@
 }
 
 static bool
-store_is_out (void *ctx)
+store_is_down (void *ctx)
 {
   return mt_relay_sees_outage (((struct mt_fleet *) ctx)->relay);
 }
@@ -185,13 +187,13 @@
                                              .token = token,
                                              .kv = mt_adapter_kv (f->platform),
                                              .machines = mt_adapter_machines (f->platform),
-                                             .words = &f->words,
+                                             .codec = &f->codec,
                                              .cluster = f->cluster,
                                              .mesh = f->mesh,
                                              .journal = f->journal,
                                              .move_ms = (int64_t) (1000 * b->move_s),
-                                             .upkeep_ms = (int64_t) (1000 * b->upkeep_s),
-                                             .local = local_pool,
+                                             .maintenance_ms = (int64_t) (1000 * b->upkeep_s),
+                                             .local_pool = local_pool,
                                              .ctx = f };
 
   if (f->settings->machines.len == 0)
@@ -206,7 +208,7 @@
 {
   struct mt_fleet *f = ctx;
   struct mt_roster_options registry = { .kv = mt_adapter_kv (f->platform),
-                                        .words = &f->words,
+                                        .codec = &f->codec,
                                         .seen = on_worker,
                                         .gone = on_worker_gone,
                                         .ctx = f };
@@ -214,10 +216,10 @@
                                      .token = token,
                                      .kv = registry.kv,
                                      .workers = mt_adapter_workers (f->platform),
-                                     .words = &f->words,
+                                     .codec = &f->codec,
                                      .cluster = f->cluster,
                                      .sched = scheduler_settings (f),
-                                     .store_is_out = store_is_out,
+                                     .store_is_down = store_is_down,
                                      .link_wait_ms = link_wait_ms,
                                      .ctx = f,
                                      .journal = f->journal };
@@ -255,7 +257,7 @@
 /* ---- configuration ---- */
 
 static void
-take_config (struct mt_fleet *f, struct mt_fleet_config *config)
+apply_config (struct mt_fleet *f, struct mt_fleet_config *config)
 {
   g_autoptr (GPtrArray) leaderships = g_ptr_array_new ();
   struct mt_fleet_config *old = f->config;
@@ -282,7 +284,8 @@
                   config->version, config->n_routes);
 }
 
-/* A version that is in force is never followed by a lower one, whatever a late answer says. */
+/* Ignores versions that are not newer than the current one: a late answer may carry an older
+ * version. */
 static void
 on_config (void *ctx, const struct mt_kv_item *item)
 {
@@ -290,15 +293,15 @@
   g_autoptr (GError) error = NULL;
   struct mt_fleet_config *config;
 
-  if (item->deleted || strcmp (item->key, f->words.config_key) != 0)
+  if (item->deleted || strcmp (item->key, f->codec.config_key) != 0)
     return;
-  config = f->words.ops->parse_config (item->value, &error);
+  config = f->codec.ops->parse_config (item->value, &error);
   if (config == NULL)
     mt_journal_log (f->journal, "CONFIG_REFUSED", "why=%s", error->message);
   else if (f->config != NULL && config->version <= f->config->version)
     mt_fleet_config_free (config);
   else
-    take_config (f, config);
+    apply_config (f, config);
 }
 
 /* ---- callers, readiness, metrics ---- */
@@ -310,7 +313,7 @@
 }
 
 static bool
-store_is_heard (const struct mt_fleet *f)
+store_answered_recently (const struct mt_fleet *f)
 {
   return mt_loop_now () - mt_watcher_last_answer (f->config_watch) < STORE_SILENT_MS;
 }
@@ -319,7 +322,7 @@
 on_ready (void *ctx, struct mt_exchange *exchange)
 {
   struct mt_fleet *f = ctx;
-  bool ready = f->config != NULL && !f->stopping && store_is_heard (f)
+  bool ready = f->config != NULL && !f->stopping && store_answered_recently (f)
                && mt_adapter_store_answers (f->platform);
 
   mt_exchange_answer (exchange, ready ? 200 : 503, "text/plain",
@@ -327,7 +330,7 @@
 }
 
 static void
-tell_loads (struct mt_fleet *f)
+log_loads (struct mt_fleet *f)
 {
   GHashTableIter it;
   const char *name;
@@ -351,7 +354,7 @@
 }
 
 static void
-count_load (struct mt_fleet *f)
+update_gauges (struct mt_fleet *f)
 {
   struct mt_scheduler_load sum = { 0 };
   GHashTableIter it;
@@ -385,7 +388,7 @@
   struct mt_fleet *f = ctx;
   g_autofree char *text = NULL;
 
-  count_load (f);
+  update_gauges (f);
   text = mt_metrics_text (f->metrics, f->traffic, f->journal);
   mt_exchange_answer (exchange, 200, "text/plain; version=0.0.4", mt_str_from (text), 0);
 }
@@ -395,7 +398,7 @@
 static void
 on_left (void *ctx)
 {
-  ((struct mt_fleet *) ctx)->left = true;
+  ((struct mt_fleet *) ctx)->has_left = true;
 }
 
 static void
@@ -419,24 +422,24 @@
   if (!f->stopping)
     return false;
   return since >= grace
-         || (since >= LINGER_MS && f->left && mt_frontend_in_flight (f->frontend) == 0);
+         || (since >= LINGER_MS && f->has_left && mt_frontend_in_flight (f->frontend) == 0);
 }
 
 static void
 on_housekeeping (void *ctx)
 {
   struct mt_fleet *f = ctx;
-  bool lost = !store_is_heard (f);
+  bool lost = !store_answered_recently (f);
 
   mt_timer_set (f->housekeeping, f->stopping ? HOUSEKEEPING_MS / 5 : HOUSEKEEPING_MS);
   if (lost != f->store_lost)
     mt_journal_log (f->journal, lost ? "STORE_LOST" : "STORE_BACK", "reached_directly=%d",
                     mt_adapter_reaches_store (f->platform));
   f->store_lost = lost;
-  if (mt_loop_now () - f->loads_told >= LOADS_MS)
+  if (mt_loop_now () - f->loads_logged_at >= LOAD_LOG_INTERVAL_MS)
     {
-      f->loads_told = mt_loop_now ();
-      tell_loads (f);
+      f->loads_logged_at = mt_loop_now ();
+      log_loads (f);
     }
   mt_journal_flush (f->journal);
   if (may_exit (f))
@@ -452,10 +455,10 @@
                                        .advisor = s->advisor.data };
 }
 
-/* What can change while it runs: addresses of the platform and its bounds. A pool that is led takes
- * new bounds when its leadership is taken next. */
+/* Reloads what can change at run time: the platform's addresses and the bounds. A pool that is
+ * already led gets new bounds only when its leadership is next taken. */
 static void
-read_settings (struct mt_fleet *f)
+reload_settings (struct mt_fleet *f)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
@@ -472,9 +475,9 @@
     }
   addresses = adapter_settings (settings);
   mt_adapter_set_addresses (f->platform, &addresses);
-  if (f->reread != NULL)
-    mt_fleet_settings_destroy (f->reread);
-  f->reread = settings;
+  if (f->reloaded_settings != NULL)
+    mt_fleet_settings_destroy (f->reloaded_settings);
+  f->reloaded_settings = settings;
   f->settings = settings;
   mt_journal_log (f->journal, "FLEET_SETTINGS", "taken=yes path=%s", f->settings_path);
 }
@@ -485,12 +488,12 @@
   struct mt_fleet *f = ctx;
 
   if (number == SIGHUP)
-    read_settings (f);
+    reload_settings (f);
   else if (number == SIGUSR1)
     {
       g_autofree char *text = NULL;
 
-      count_load (f);
+      update_gauges (f);
       text = mt_metrics_text (f->metrics, f->traffic, f->journal);
       fprintf (stderr, "%s", text);
     }
@@ -498,10 +501,10 @@
     begin_stop (f);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static void
-make_cluster (struct mt_fleet *f, const char *address)
+create_cluster (struct mt_fleet *f, const char *address)
 {
   struct mt_cluster_options options = { .name = f->settings->name.data,
                                         .address = address,
@@ -527,15 +530,15 @@
 }
 
 static void
-make_frontend (struct mt_fleet *f)
+create_frontend (struct mt_fleet *f)
 {
   struct mt_frontend_options options = { .kv = mt_adapter_kv (f->platform),
-                                         .words = &f->words,
+                                         .codec = &f->codec,
                                          .cluster = f->cluster,
                                          .mesh = f->mesh,
                                          .journal = f->journal,
                                          .metrics = f->metrics,
-                                         .local = local_pool,
+                                         .local_pool = local_pool,
                                          .store_answers = store_answers,
                                          .config_age_ms = config_age_ms,
                                          .keys_stale_ms = f->settings->bounds.keys_stale_ms,
@@ -545,11 +548,11 @@
 }
 
 static struct mt_http_front *
-make_front (struct mt_fleet *f,
-            const char *address,
-            const char *kind,
-            mt_http_front_handler handle,
-            GError **error)
+create_http_front (struct mt_fleet *f,
+                   const char *address,
+                   const char *kind,
+                   mt_http_front_handler handle,
+                   GError **error)
 {
   struct mt_http_front_options options = { .address = address,
                                            .connections = f->settings->connections,
@@ -569,15 +572,15 @@
   const struct mt_fleet_settings *s = f->settings;
   g_autofree char *scrape = g_strdup_printf ("%s:%u", s->ip.data, s->metrics_port);
 
-  f->front = make_front (f, s->listen.data, "callers", on_request, error);
+  f->front = create_http_front (f, s->listen.data, "callers", on_request, error);
   if (f->front == NULL)
     return false;
-  f->ready = make_front (f, s->ready_listen.data, "readiness", on_ready, error);
+  f->ready = create_http_front (f, s->ready_listen.data, "readiness", on_ready, error);
   if (f->ready == NULL)
     return false;
   if (s->metrics_port == 0)
     return true;
-  f->scrape = make_front (f, scrape, "metrics", on_scrape, error);
+  f->scrape = create_http_front (f, scrape, "metrics", on_scrape, error);
   return f->scrape != NULL;
 }
 
@@ -618,20 +621,20 @@
   f->uplink = mt_uplink_make (s->link_mbps, mt_loop_now ());
   f->calls = mt_calls_create (f->base, f->traffic);
   f->platform = mt_adapter_create (f->calls, &platform);
-  f->words = mt_adapter_words ();
+  f->codec = mt_adapter_words ();
   f->mesh = mt_mesh_create (f->base, f->traffic, peer, s->name.data, mt_peer_service_handle,
-                            &f->neighbours, error);
+                            &f->peer_service, error);
   if (f->mesh == NULL)
     return NULL;
   g_free (peer);
   peer = g_strdup_printf ("%s:%u", s->ip.data, mt_mesh_port (f->mesh));
-  make_cluster (f, peer);
+  create_cluster (f, peer);
   f->relay = mt_relay_create (f->platform, f->mesh, f->cluster);
-  f->neighbours = (struct mt_peer_service){ f->cluster, f->relay, local_pool, f };
-  make_frontend (f);
+  f->peer_service = (struct mt_peer_service){ f->cluster, f->relay, local_pool, f };
+  create_frontend (f);
   if (!listen_all (f, error))
     return NULL;
-  config.prefix = f->words.config_key;
+  config.prefix = f->codec.config_key;
   f->config_watch = mt_watcher_create (f->base, mt_adapter_kv (f->platform), &config);
   f->housekeeping = mt_timer_create (f->base, on_housekeeping, f);
   watch_signals (f);
@@ -651,8 +654,8 @@
   mt_journal_flush (f->journal);
 }
 
-/* Calls end first, by callbacks to parts that are still there; then the parts, users before what
- * they use. */
+/* Ends calls first, because their callbacks use parts that must still exist; then destroys the
+ * parts, each before those that it uses. */
 void
 mt_fleet_destroy (struct mt_fleet *f)
 {
@@ -676,7 +679,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (f->signals); i++)
     event_free (f->signals[i]);
   mt_fleet_config_free (f->config);
-  mt_fleet_settings_destroy (f->reread);
+  mt_fleet_settings_destroy (f->reloaded_settings);
   mt_traffic_destroy (f->traffic);
   mt_metrics_destroy (f->metrics);
   mt_journal_destroy (f->journal);
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -13,39 +13,40 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Pools are asked this often; it is how late a surge is seen. */
+/* Interval at which pools are queried, and so how late a surge is noticed. */
 #define TICK_MS 150
-/* ... and this often while a pool is short or a machine is to be emptied: emptying one takes three
- * rounds of question and answer, and callers of the pool that surges wait for all of them. */
-#define TICK_PRESSED_MS 75
-/* The list of machines: this often while something is under way, else seldom. */
+/* Interval while a pool is short of resources or a machine is to be drained: draining one takes
+ * three rounds of query and reply, and callers of the overloaded pool wait for all of them. */
+#define TICK_PRESSURE_MS 75
+/* Intervals at which machines are listed: while orders or waves are in progress, and otherwise. */
 #define LIST_MS      500
 #define LIST_IDLE_MS 4000
-/* The watch on waves waits so long; a change ends the wait. */
+/* Longest wait of the watch on waves; a change ends it. */
 #define WAVES_WAIT_MS 2500
-/* A pool that gives no report for so long is asked again at the next tick. */
-#define REPORT_MS 400
-/* A write of progress without an answer for so long is sent again; it is the same each time. */
-#define TXN_MS 800
-/* A cordon that is not renewed ends: its fleet controller may be gone. */
-#define CORDON_MS       1200
-#define PROGRESS_PREFIX "medlartrack/wave/"
-#define HOMES_KEY       "medlartrack/homes"
+/* Time-out of a pool's report; the pool is queried again at the next tick. */
+#define REPORT_TIMEOUT_MS 400
+/* Time-out of reads and writes of the store. A write without an answer is sent again unchanged. */
+#define TXN_TIMEOUT_MS 800
+/* Cordons and directives expire after this time unless renewed: the fleet controller may be
+ * gone. */
+#define DIRECTIVE_TTL_MS 1200
+#define PROGRESS_PREFIX  "medlartrack/wave/"
+#define HOMES_KEY        "medlartrack/homes"
 
 struct wave
 {
-  struct mt_wave *asked;
+  struct mt_wave *request;
   int64_t number;
-  int64_t seen_wall; /* when it was first seen by any fleet controller */
-  char **done;       /* as stored */
-  bool known;        /* the stored progress was read */
+  int64_t seen_wall_ms; /* Unix time in ms when any fleet controller first saw it */
+  char **done;          /* ids of the machines that are done, as stored */
+  bool progress_read;   /* the stored progress has been read */
   bool active_written;
   bool completed_written;
-  bool writing;
-  guint stored; /* machines in the stored progress */
+  bool call_in_flight;
+  guint stored; /* number of machines in the stored progress */
 };
 
-/* Counted: the owner's reference, and one for each call under way. */
+/* Reference-counted: one reference for the owner and one for each call in flight. */
 struct mt_fleet_leader
 {
   struct mt_fleet_leader_options options;
@@ -54,14 +55,14 @@
   struct mt_grants *grants;
   struct mt_watcher *watch;
   struct mt_timer *tick;
-  GHashTable *waves; /* key to struct wave */
-  GPtrArray *pools;  /* names, standby ones left out */
+  GHashTable *waves; /* key -> struct wave */
+  GPtrArray *pools;  /* names, without standby pools */
   bool destroyed;
-  bool listing;
-  int64_t list_asked;
+  bool list_in_flight;
+  int64_t list_requested_at;
 
-  bool homes_known; /* the stored homes were read */
-  bool homes_busy;
+  bool homes_read; /* the stored home pools of machines have been read */
+  bool homes_in_flight;
   char **homes_sent;
 };
 
@@ -76,7 +77,7 @@
 {
   struct wave *w = data;
 
-  mt_wave_free (w->asked);
+  mt_wave_free (w->request);
   g_strfreev (w->done);
   g_free (w);
 }
@@ -101,12 +102,12 @@
   g_rc_box_release_full (lead, clear_leader);
 }
 
-/* A call under way, and what it is about: a wave's key, a pool's name. */
+/* A call in flight with the key of its wave or the name of its pool. */
 struct named_call
 {
   struct mt_fleet_leader *leader;
   char *name;
-  uint64_t number; /* of the grants that it carries */
+  uint64_t number; /* sequence number of the grant message that it carries */
 };
 
 static struct named_call *
@@ -136,25 +137,25 @@
 }
 
 static void
-tell_controller (struct mt_fleet_leader *lead, struct wave *w)
+add_wave (struct mt_fleet_leader *lead, struct wave *w)
 {
-  int64_t age = CLAMP (mt_loop_wall_ms () - w->seen_wall, 0, w->asked->deadline_ms);
+  int64_t age = CLAMP (mt_loop_wall_ms () - w->seen_wall_ms, 0, w->request->deadline_ms);
 
-  mt_controller_update_wave (lead->controller, w->number, w->asked->machines, w->done,
-                             w->asked->max_unavailable,
-                             mt_loop_now () + w->asked->deadline_ms - age);
-  w->known = true;
+  mt_controller_update_wave (lead->controller, w->number, w->request->machines, w->done,
+                             w->request->max_unavailable,
+                             mt_loop_now () + w->request->deadline_ms - age);
+  w->progress_read = true;
 }
 
 static void
-read_progress (struct wave *w, struct mt_str text)
+parse_progress (struct wave *w, struct mt_str text)
 {
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
   json_t *done = json_object_get (root, "done");
   json_int_t seen = json_integer_value (json_object_get (root, "seen_ms"));
 
   if (seen > 0)
-    w->seen_wall = seen;
+    w->seen_wall_ms = seen;
   g_strfreev (w->done);
   w->done = g_new0 (char *, json_array_size (done) + 1);
   w->stored = 0;
@@ -171,15 +172,15 @@
   struct mt_fleet_leader *lead = call->leader;
   struct wave *w = !lead->destroyed ? g_hash_table_lookup (lead->waves, call->name) : NULL;
 
-  if (w != NULL && !w->known)
+  if (w != NULL && !w->progress_read)
     {
       if (reply->status == MT_KV_OK && reply->n_items > 0)
-        read_progress (w, reply->items[0].value);
+        parse_progress (w, reply->items[0].value);
       if (reply->status == MT_KV_OK || reply->status == MT_KV_MISSING)
-        tell_controller (lead, w);
+        add_wave (lead, w);
     }
   if (w != NULL)
-    w->writing = false;
+    w->call_in_flight = false;
   free_named_call (call);
 }
 
@@ -189,35 +190,36 @@
   struct wave *w = g_hash_table_lookup (lead->waves, key);
   g_autofree char *at = progress_key (w);
 
-  w->writing = true;
-  mt_kv_read (&lead->options.kv, at, TXN_MS, on_progress, new_named_call (lead, key));
+  w->call_in_flight = true;
+  mt_kv_read (&lead->options.kv, at, TXN_TIMEOUT_MS, on_progress, new_named_call (lead, key));
 }
 
 static void
 on_wave (void *ctx, const struct mt_kv_item *item)
 {
   struct mt_fleet_leader *lead = ctx;
-  struct mt_wave *asked = item->deleted ? NULL : lead->options.words->ops->parse_wave (item->value);
+  struct mt_wave *request
+      = item->deleted ? NULL : lead->options.codec->ops->parse_wave (item->value);
   struct wave *w;
 
-  if (asked == NULL || g_hash_table_contains (lead->waves, item->key))
+  if (request == NULL || g_hash_table_contains (lead->waves, item->key))
     {
-      mt_wave_free (asked);
+      mt_wave_free (request);
       return;
     }
   w = g_new0 (struct wave, 1);
-  w->asked = asked;
-  w->number = asked->number;
-  w->seen_wall = mt_loop_wall_ms ();
+  w->request = request;
+  w->number = request->number;
+  w->seen_wall_ms = mt_loop_wall_ms ();
   g_hash_table_insert (lead->waves, g_strdup (item->key), w);
   mt_journal_log (lead->options.journal, "WAVE_SEEN",
                   "wave=%" G_GINT64_FORMAT " machines=%u cap=%u due_ms=%" G_GINT64_FORMAT,
-                  w->number, g_strv_length (asked->machines), asked->max_unavailable,
-                  asked->deadline_ms);
+                  w->number, g_strv_length (request->machines), request->max_unavailable,
+                  request->deadline_ms);
 }
 
 static char *
-write_progress (const struct wave *w, char **done)
+format_progress (const struct wave *w, char **done)
 {
   json_t *root = json_object ();
   json_t *list = json_array ();
@@ -225,7 +227,7 @@
 
   for (char **id = done; *id != NULL; id++)
     json_array_append_new (list, json_string (*id));
-  json_object_set_new (root, "seen_ms", json_integer (w->seen_wall));
+  json_object_set_new (root, "seen_ms", json_integer (w->seen_wall_ms));
   json_object_set_new (root, "done", list);
   text = json_dumps (root, JSON_COMPACT);
   json_decref (root);
@@ -241,7 +243,7 @@
 
   if (w != NULL)
     {
-      w->writing = false;
+      w->call_in_flight = false;
       if (reply->status != MT_KV_OK)
         {
           w->stored = 0;
@@ -252,9 +254,9 @@
   free_named_call (call);
 }
 
-/* The progress, and for whoever asked for the wave its state: completed only once the fleet
- * controller has seen each machine begin. Written on the condition that the leadership is still
- * ours. */
+/* Writes the wave's progress, and its state for the operator: completed only once the fleet
+ * controller has seen the maintenance of every machine begin. The precondition is that this daemon
+ * still holds the leadership. */
 static void
 write_wave (struct mt_fleet_leader *lead, const char *key, struct wave *w)
 {
@@ -273,43 +275,43 @@
     return;
   at = progress_key (w);
   status_at
-      = g_strdup_printf ("%s%" G_GINT64_FORMAT, lead->options.words->wave_status_prefix, w->number);
-  status = lead->options.words->ops->format_wave_status (completed);
-  progress = write_progress (w, done);
+      = g_strdup_printf ("%s%" G_GINT64_FORMAT, lead->options.codec->wave_status_prefix, w->number);
+  status = lead->options.codec->ops->format_wave_status (completed);
+  progress = format_progress (w, done);
   puts[0] = (struct mt_kv_put){ at, mt_str_from (progress), 0 };
   puts[1] = (struct mt_kv_put){ status_at, mt_str_from (status), 0 };
   if (completed && !w->completed_written)
     mt_journal_log (lead->options.journal, "WAVE_ENDED",
                     "wave=%" G_GINT64_FORMAT " machines=%u took_ms=%" G_GINT64_FORMAT, w->number, n,
-                    mt_loop_wall_ms () - w->seen_wall);
-  w->writing = true;
+                    mt_loop_wall_ms () - w->seen_wall_ms);
+  w->call_in_flight = true;
   w->active_written = true;
   w->completed_written = completed;
   w->stored = n;
-  mt_kv_write (&lead->options.kv, &txn, TXN_MS, on_written, new_named_call (lead, key));
+  mt_kv_write (&lead->options.kv, &txn, TXN_TIMEOUT_MS, on_written, new_named_call (lead, key));
   free (progress);
 }
 
 static bool
-step_waves (struct mt_fleet_leader *lead)
+advance_waves (struct mt_fleet_leader *lead)
 {
   GHashTableIter it;
   const char *key;
   struct wave *w;
-  bool open = false;
+  bool unfinished = false;
 
   g_hash_table_iter_init (&it, lead->waves);
   while (g_hash_table_iter_next (&it, (void **) &key, (void **) &w))
     {
-      open |= !w->completed_written;
-      if (w->writing || w->completed_written)
+      unfinished |= !w->completed_written;
+      if (w->call_in_flight || w->completed_written)
         continue;
-      if (w->known)
+      if (w->progress_read)
         write_wave (lead, key, w);
       else
         read_wave (lead, key);
     }
-  return open;
+  return unfinished;
 }
 
 /* ---- machines ---- */
@@ -320,7 +322,7 @@
   struct mt_fleet_leader *lead = data;
   struct mt_controller_machine_info *rows = g_new0 (struct mt_controller_machine_info, n + 1);
 
-  lead->listing = false;
+  lead->list_in_flight = false;
   if (!lead->destroyed && machines != NULL)
     {
       for (size_t i = 0; i < n; i++)
@@ -334,30 +336,31 @@
           .in_maintenance = machines[i].state == MT_MACHINE_MAINTENANCE,
           .resources = machines[i].resources
         };
-      mt_controller_update_machines (lead->controller, rows, n, lead->list_asked, mt_loop_now ());
+      mt_controller_update_machines (lead->controller, rows, n, lead->list_requested_at,
+                                     mt_loop_now ());
     }
   g_free (rows);
   unref (lead);
 }
 
 static void
-list_machines (struct mt_fleet_leader *lead, bool open)
+list_machines (struct mt_fleet_leader *lead, bool unfinished)
 {
   int64_t now = mt_loop_now ();
 
-  if (lead->listing || now - lead->list_asked < (open ? LIST_MS : LIST_IDLE_MS))
+  if (lead->list_in_flight || now - lead->list_requested_at < (unfinished ? LIST_MS : LIST_IDLE_MS))
     return;
-  lead->listing = true;
-  lead->list_asked = now;
+  lead->list_in_flight = true;
+  lead->list_requested_at = now;
   lead->options.machines.ops->list (lead->options.machines.ctx, on_machines, ref (lead));
 }
 
 /* ---- pools ---- */
 
-static void decide (struct mt_fleet_leader *lead);
+static void plan_and_send (struct mt_fleet_leader *lead);
 
 static void
-take_report (struct mt_fleet_leader *lead, const char *pool, uint64_t number, struct mt_str bytes)
+apply_report (struct mt_fleet_leader *lead, const char *pool, uint64_t number, struct mt_str bytes)
 {
   struct mt_pool_report report;
 
@@ -370,7 +373,7 @@
   mt_pool_report_clear (&report);
 }
 
-/* What a report allows is ordered at once, not at the next tick. */
+/* Orders what the report allows at once instead of at the next tick. */
 static void
 on_report (void *ctx, const struct mt_mesh_args *args)
 {
@@ -378,51 +381,52 @@
 
   if (!call->leader->destroyed && args != NULL && args->n == 1)
     {
-      take_report (call->leader, call->name, call->number, args->at[0]);
-      decide (call->leader);
+      apply_report (call->leader, call->name, call->number, args->at[0]);
+      plan_and_send (call->leader);
     }
   free_named_call (call);
 }
 
 static void
-ask_pool (struct mt_fleet_leader *lead, const char *name)
+query_pool (struct mt_fleet_leader *lead, const char *name)
 {
-  struct mt_pool *local = lead->options.local (lead->options.ctx, name);
+  struct mt_pool *local_pool = lead->options.local_pool (lead->options.ctx, name);
   const char *holder = mt_cluster_holder (lead->options.cluster, name);
-  struct mt_controller_directives notes
+  struct mt_controller_directives directives
       = mt_controller_pool_directives (lead->controller, name, mt_loop_now ());
-  g_autofree char *cordon = g_strjoinv (",", notes.cordon);
-  g_autofree char *ended = g_strjoinv (",", notes.ended_workers);
-  g_autofree char *due = g_strjoinv (",", notes.maintenance_due);
-  g_autofree char *room = g_strdup_printf ("%" G_GINT64_FORMAT, notes.planned_cpu);
+  g_autofree char *cordon = g_strjoinv (",", directives.cordon);
+  g_autofree char *ended = g_strjoinv (",", directives.ended_workers);
+  g_autofree char *drain_later = g_strjoinv (",", directives.maintenance_due);
+  g_autofree char *expected_cpu = g_strdup_printf ("%" G_GINT64_FORMAT, directives.planned_cpu);
   struct mt_grant_message message = mt_grants_next_message (lead->grants, name, mt_loop_now ());
   size_t grants_len = 0;
   g_autofree char *grants = mt_grants_pack (&message, &grants_len);
-  struct mt_pool_directives texts = { mt_str_from (cordon),
-                                      mt_str_from (ended),
-                                      mt_str_from (due),
-                                      mt_str_from (room),
-                                      { grants, grants_len } };
+  struct mt_pool_directives packed = { mt_str_from (cordon),
+                                       mt_str_from (ended),
+                                       mt_str_from (drain_later),
+                                       mt_str_from (expected_cpu),
+                                       { grants, grants_len } };
 
   g_free ((struct mt_grant *) message.grants);
-  mt_controller_directives_clear (&notes);
-  if (local != NULL)
+  mt_controller_directives_clear (&directives);
+  if (local_pool != NULL)
     {
       size_t len = 0;
-      g_autofree char *bytes = mt_pool_apply_directives (local, &texts, &len);
+      g_autofree char *bytes = mt_pool_apply_directives (local_pool, &packed, &len);
 
       if (bytes != NULL)
-        take_report (lead, name, message.sequence, (struct mt_str){ bytes, len });
+        apply_report (lead, name, message.sequence, (struct mt_str){ bytes, len });
     }
   else if (holder != NULL)
     {
-      struct mt_mesh_args args = {
-        6, { mt_str_from (name), texts.cordon, texts.ended, texts.due, texts.room, texts.grants }
-      };
+      struct mt_mesh_args args = { 6,
+                                   { mt_str_from (name), packed.cordon, packed.ended,
+                                     packed.drain_later, packed.expected_cpu, packed.grants } };
       struct named_call *call = new_named_call (lead, name);
 
       call->number = message.sequence;
-      mt_mesh_send (lead->options.mesh, holder, MT_MESH_CORDON, &args, REPORT_MS, on_report, call);
+      mt_mesh_send (lead->options.mesh, holder, MT_MESH_CORDON, &args, REPORT_TIMEOUT_MS, on_report,
+                    call);
     }
 }
 
@@ -434,10 +438,10 @@
   return g_strsplit (text, ",", 0);
 }
 
-/* False for an older message than the last one: whoever sent it must not take an answer to it for
- * an answer to what came after. */
+/* Returns false for a message older than the last one: its sender must not take an answer to it for
+ * an answer to a later message. */
 static bool
-take_grants (struct mt_scheduler *sched, struct mt_str bytes, int64_t now)
+apply_grants (struct mt_scheduler *sched, struct mt_str bytes, int64_t now)
 {
   struct mt_grant_message message;
   bool taken
@@ -448,24 +452,29 @@
 }
 
 char *
-mt_pool_apply_directives (struct mt_pool *pool, const struct mt_pool_directives *notes, size_t *len)
-{
-  g_auto (GStrv) cordon = split_ids (notes->cordon);
-  g_auto (GStrv) ended = split_ids (notes->ended);
-  g_auto (GStrv) due = split_ids (notes->due);
-  unsigned long long room = 0;
+mt_pool_apply_directives (struct mt_pool *pool,
+                          const struct mt_pool_directives *directives,
+                          size_t *len)
+{
+  g_auto (GStrv) cordon = split_ids (directives->cordon);
+  g_auto (GStrv) ended = split_ids (directives->ended);
+  g_auto (GStrv) drain_later = split_ids (directives->drain_later);
+  unsigned long long expected_cpu = 0;
   int64_t now = mt_loop_now ();
 
-  if (!mt_pool_is_loaded (pool) || !take_grants (mt_pool_scheduler (pool), notes->grants, now))
+  if (!mt_pool_is_loaded (pool)
+      || !apply_grants (mt_pool_scheduler (pool), directives->grants, now))
     return NULL;
-  if (mt_str_to_u64 (notes->room, &room))
-    mt_scheduler_expect_capacity (mt_pool_scheduler (pool), (int64_t) room, now + CORDON_MS);
+  if (mt_str_to_u64 (directives->expected_cpu, &expected_cpu))
+    mt_scheduler_expect_capacity (mt_pool_scheduler (pool), (int64_t) expected_cpu,
+                                  now + DIRECTIVE_TTL_MS);
   for (char **id = ended; *id != NULL; id++)
-    mt_scheduler_worker_ended (mt_pool_scheduler (pool), *id, now, "its machine was ordered away");
+    mt_scheduler_worker_ended (mt_pool_scheduler (pool), *id, now,
+                               "its machine was ordered to move or into maintenance");
   for (char **id = cordon; *id != NULL; id++)
-    mt_scheduler_cordon (mt_pool_scheduler (pool), *id, now + CORDON_MS, true);
-  for (char **id = due; *id != NULL; id++)
-    mt_scheduler_announce_drain (mt_pool_scheduler (pool), *id, now + CORDON_MS);
+    mt_scheduler_cordon (mt_pool_scheduler (pool), *id, now + DIRECTIVE_TTL_MS, true);
+  for (char **id = drain_later; *id != NULL; id++)
+    mt_scheduler_announce_drain (mt_pool_scheduler (pool), *id, now + DIRECTIVE_TTL_MS);
   mt_pool_wake (pool);
   return mt_pool_report_pack (mt_pool_scheduler (pool), now, len);
 }
@@ -505,7 +514,7 @@
                                    mt_loop_now ());
       if (answer == MT_MACHINE_FENCED)
         mt_cluster_drop_leadership (lead->options.cluster, lead->options.leadership,
-                                    "a higher token ordered a machine");
+                                    "a machine has had an order with a higher fencing token");
     }
   unref (lead);
   g_free (call->machine);
@@ -518,16 +527,16 @@
 {
   const struct mt_machines *machines = &lead->options.machines;
   struct order_call *call = g_new0 (struct order_call, 1);
-  bool upkeep = order->kind == MT_CONTROLLER_MAINTENANCE;
+  bool maintenance = order->kind == MT_CONTROLLER_MAINTENANCE;
 
   call->leader = ref (lead);
   call->machine = g_strdup (order->machine);
-  call->what = g_strdup (upkeep ? "upkeep" : order->to);
-  mt_journal_log (lead->options.journal, upkeep ? "UPKEEP_ORDERED" : "MACHINE_MOVED",
+  call->what = g_strdup (maintenance ? "upkeep" : order->to);
+  mt_journal_log (lead->options.journal, maintenance ? "UPKEEP_ORDERED" : "MACHINE_MOVED",
                   "machine=%s worker=%s pool=%s to=%s wave=%" G_GINT64_FORMAT, order->machine,
                   order->worker != NULL ? order->worker : "-", order->pool,
-                  upkeep ? "-" : order->to, order->wave);
-  if (upkeep)
+                  maintenance ? "-" : order->to, order->wave);
+  if (maintenance)
     machines->ops->maintain (machines->ctx, order->machine, order->wave, lead->options.token,
                              on_ordered, call);
   else
@@ -535,7 +544,7 @@
                          call);
 }
 
-/* An order of a holder whose lease is over could meet those of its successor. */
+/* Sends orders only while the lease is valid: later ones could contradict those of a successor. */
 static void
 send_orders (struct mt_fleet_leader *lead)
 {
@@ -546,14 +555,14 @@
     send_order (lead, &order);
 }
 
-/* ---- homes ---- */
+/* ---- home pools of machines ---- */
 
 static void
 on_homes_read (void *data, const struct mt_kv_reply *reply)
 {
   struct mt_fleet_leader *lead = data;
 
-  lead->homes_busy = false;
+  lead->homes_in_flight = false;
   if (!lead->destroyed && (reply->status == MT_KV_OK || reply->status == MT_KV_MISSING))
     {
       json_t *root
@@ -566,7 +575,7 @@
       json_object_foreach (root, machine, pool) if (json_is_string (pool))
           mt_controller_set_home (lead->controller, machine, json_string_value (pool));
       json_decref (root);
-      lead->homes_known = true;
+      lead->homes_read = true;
     }
   unref (lead);
 }
@@ -576,7 +585,7 @@
 {
   struct mt_fleet_leader *lead = data;
 
-  lead->homes_busy = false;
+  lead->homes_in_flight = false;
   if (!lead->destroyed && reply->status == MT_KV_OK)
     {
       mt_controller_homes_stored (lead->controller, lead->homes_sent);
@@ -588,7 +597,7 @@
 static void
 write_homes (struct mt_fleet_leader *lead)
 {
-  char **homes = lead->homes_busy ? NULL : mt_controller_unstored_homes (lead->controller);
+  char **homes = lead->homes_in_flight ? NULL : mt_controller_unstored_homes (lead->controller);
   json_t *root;
   char *text;
   struct mt_kv_expect expect = { lead->leader_key, lead->options.token };
@@ -604,8 +613,8 @@
   put.value = mt_str_from (text);
   g_strfreev (lead->homes_sent);
   lead->homes_sent = homes;
-  lead->homes_busy = true;
-  mt_kv_write (&lead->options.kv, &txn, TXN_MS, on_homes_written, ref (lead));
+  lead->homes_in_flight = true;
+  mt_kv_write (&lead->options.kv, &txn, TXN_TIMEOUT_MS, on_homes_written, ref (lead));
   free (text);
   json_decref (root);
 }
@@ -613,14 +622,14 @@
 static void
 read_homes (struct mt_fleet_leader *lead)
 {
-  if (lead->homes_busy)
+  if (lead->homes_in_flight)
     return;
-  lead->homes_busy = true;
-  mt_kv_read (&lead->options.kv, HOMES_KEY, TXN_MS, on_homes_read, ref (lead));
+  lead->homes_in_flight = true;
+  mt_kv_read (&lead->options.kv, HOMES_KEY, TXN_TIMEOUT_MS, on_homes_read, ref (lead));
 }
 
 static void
-decide (struct mt_fleet_leader *lead)
+plan_and_send (struct mt_fleet_leader *lead)
 {
   ref (lead);
   mt_controller_plan (lead->controller, mt_loop_now ());
@@ -633,22 +642,22 @@
 on_tick (void *ctx)
 {
   struct mt_fleet_leader *lead = ctx;
-  bool open = step_waves (lead);
-  bool pressed = mt_controller_needs_frequent_loads (lead->controller);
+  bool unfinished = advance_waves (lead);
+  bool under_pressure = mt_controller_needs_frequent_loads (lead->controller);
 
-  mt_timer_set (lead->tick, pressed ? TICK_PRESSED_MS : TICK_MS);
-  if (!lead->homes_known)
+  mt_timer_set (lead->tick, under_pressure ? TICK_PRESSURE_MS : TICK_MS);
+  if (!lead->homes_read)
     {
       read_homes (lead);
       return;
     }
-  list_machines (lead, open || mt_controller_expects_changes (lead->controller));
+  list_machines (lead, unfinished || mt_controller_expects_changes (lead->controller));
   for (guint i = 0; i < lead->pools->len; i++)
-    ask_pool (lead, lead->pools->pdata[i]);
-  decide (lead);
+    query_pool (lead, lead->pools->pdata[i]);
+  plan_and_send (lead);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 void
 mt_fleet_leader_set_config (struct mt_fleet_leader *lead, const struct mt_fleet_config *config)
@@ -672,9 +681,10 @@
 mt_fleet_leader_create (struct event_base *base, const struct mt_fleet_leader_options *options)
 {
   struct mt_fleet_leader *lead = g_rc_box_new0 (struct mt_fleet_leader);
-  struct mt_controller_settings settings
-      = { .move_ms = options->move_ms, .maintenance_ms = options->upkeep_ms, .allow_moves = true };
-  struct mt_watcher_options watch = { .prefix = options->words->waves_prefix,
+  struct mt_controller_settings settings = { .move_ms = options->move_ms,
+                                             .maintenance_ms = options->maintenance_ms,
+                                             .allow_moves = true };
+  struct mt_watcher_options watch = { .prefix = options->codec->waves_prefix,
                                       .wait_ms = WAVES_WAIT_MS,
                                       .on_item = on_wave,
                                       .ctx = lead };
@@ -685,7 +695,7 @@
   lead->grants = mt_grants_create (options->token, mt_loop_now ());
   lead->waves = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_wave);
   lead->pools = g_ptr_array_new_with_free_func (g_free);
-  lead->list_asked = -LIST_IDLE_MS;
+  lead->list_requested_at = -LIST_IDLE_MS;
   lead->tick = mt_timer_create (base, on_tick, lead);
   lead->watch = mt_watcher_create (base, options->kv, &watch);
   mt_timer_set (lead->tick, TICK_MS);
--- a/fleet/fleet_leader.h
+++ b/fleet/fleet_leader.h
@@ -1,5 +1,6 @@
-/* The fleet controller at work: waves are read, machines listed, pools asked, orders given. Lives
- * while this daemon has the fleet's leadership. On the loop's one thread. */
+/* Runs the fleet controller: reads maintenance waves, lists machines, queries the pools' leaders
+ * and sends orders to machines. Exists while this daemon holds the fleet's leadership. Not
+ * thread-safe: runs on the loop's thread. */
 #ifndef MT_FLEET_LEADER_H
 #define MT_FLEET_LEADER_H
 
@@ -15,14 +16,14 @@
   int64_t token;
   struct mt_kv kv;
   struct mt_machines machines;
-  const struct mt_codec *words;
+  const struct mt_codec *codec;
   struct mt_cluster *cluster;
   struct mt_mesh *mesh;
   struct mt_journal *journal;
   int64_t move_ms;
-  int64_t upkeep_ms;
-  /* The pool that this daemon leads; NULL for any other. */
-  struct mt_pool *(*local) (void *ctx, const char *pool);
+  int64_t maintenance_ms;
+  /* Returns the pool if this daemon leads it, else NULL. */
+  struct mt_pool *(*local_pool) (void *ctx, const char *pool);
   void *ctx;
 };
 
@@ -32,20 +33,20 @@
 void mt_fleet_leader_set_config (struct mt_fleet_leader *leader,
                                  const struct mt_fleet_config *config);
 
-/* What a pool's leader is told: worker ids joined by commas. */
+/* Directives to a pool's leader. Worker ids are joined by commas. */
 struct mt_pool_directives
 {
-  struct mt_str cordon; /* to be emptied */
-  struct mt_str ended;  /* their machines were ordered away */
-  struct mt_str due;    /* to be emptied later */
-  struct mt_str room; /* a number: processors that the pool should have, in thousandths of a core */
-  struct mt_str grants; /* its shares of quotas, as grants_wire.h packs them */
+  struct mt_str cordon;       /* workers to drain now */
+  struct mt_str ended;        /* workers whose machines were ordered to move or into maintenance */
+  struct mt_str drain_later;  /* workers to drain later */
+  struct mt_str expected_cpu; /* planned processors in thousandths of a core, as decimal text */
+  struct mt_str grants;       /* the pool's shares of quotas, as packed by grants_wire.h */
 };
 
-/* The part of a pool's leader: empties what it is told to and reports; the bytes are g_freed by the
- * caller. */
+/* Called by the pool's leader: applies the directives and returns its packed report, or NULL if the
+ * pool is not loaded or the grants are outdated. Free with g_free. */
 char *mt_pool_apply_directives (struct mt_pool *pool,
-                                const struct mt_pool_directives *notes,
+                                const struct mt_pool_directives *directives,
                                 size_t *len);
 
 #endif
--- a/fleet/frontend.c
+++ b/fleet/frontend.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <string.h>
 
-/* Hexadecimal digits of a job's id, as callers send it. */
+/* Number of hexadecimal digits in a job's id. */
 #define ID_CHARS 16
 
 void
@@ -36,12 +36,13 @@
 
   if (holder == NULL)
     return false;
-  mt_mesh_send (frontend->options.mesh, holder, method, args, MT_FRONTEND_LEADER_MS, done, data);
+  mt_mesh_send (frontend->options.mesh, holder, method, args, MT_FRONTEND_LEADER_TIMEOUT_MS, done,
+                data);
   return true;
 }
 
 static void
-on_noted (void *ctx, const struct mt_mesh_args *args)
+on_notified (void *ctx, const struct mt_mesh_args *args)
 {
 }
 
@@ -51,7 +52,7 @@
                            enum mt_mesh_method method,
                            const struct mt_mesh_args *args)
 {
-  mt_frontend_send_leader (frontend, pool, method, args, on_noted, frontend);
+  mt_frontend_send_leader (frontend, pool, method, args, on_notified, frontend);
 }
 
 static bool
@@ -92,13 +93,14 @@
   return n == ID_CHARS && text[n] == '\0';
 }
 
-/* A configuration that has not been confirmed for so long may lack a key's removal. */
+/* Whether the configuration has been unconfirmed for too long: it may still have a key that was
+ * removed. */
 static bool
 keys_are_stale (const struct mt_frontend *frontend)
 {
-  int64_t most = frontend->options.keys_stale_ms;
+  int64_t max_age_ms = frontend->options.keys_stale_ms;
 
-  return most > 0 && frontend->options.config_age_ms (frontend->options.ctx) > most;
+  return max_age_ms > 0 && frontend->options.config_age_ms (frontend->options.ctx) > max_age_ms;
 }
 
 static void
@@ -108,7 +110,7 @@
                const char *id,
                bool stale)
 {
-  const char *key = mt_exchange_header (exchange, frontend->options.words->key_header);
+  const char *key = mt_exchange_header (exchange, frontend->options.codec->key_header);
   unsigned status = stale ? 503 : 401;
 
   mt_metrics_increment (frontend->options.metrics, MT_COUNT_UNAUTHORIZED);
@@ -116,13 +118,14 @@
                   "id=%s route=%s pool=%s status=%u version=%" G_GINT64_FORMAT " why=%s",
                   id[0] != '\0' ? id : "-", route->name, route->pool, status,
                   frontend->config->version,
-                  stale         ? "keys can't be confirmed"
+                  stale         ? "keys cannot be confirmed"
                   : key == NULL ? "no key"
                                 : "unknown key");
   mt_frontend_answer (exchange, status, NULL, stale ? MT_FRONTEND_RETRY_AFTER_S : 0);
 }
 
-/* The caller's workspace, "" where the route asks for no key; NULL where the caller was refused. */
+/* Returns the caller's workspace, or "" if the route asks for no key; NULL if the caller was
+ * refused. */
 static const char *
 authenticate (struct mt_frontend *frontend,
               struct mt_exchange *exchange,
@@ -137,7 +140,7 @@
     return "";
   stale = keys_are_stale (frontend);
   workspace = mt_workspaces_by_key (
-      list, mt_exchange_header (exchange, frontend->options.words->key_header));
+      list, mt_exchange_header (exchange, frontend->options.codec->key_header));
   if (workspace != NULL && !stale)
     return workspace->name;
   refuse_caller (frontend, exchange, route, id, workspace != NULL && stale);
@@ -198,7 +201,7 @@
 unsigned
 mt_frontend_in_flight (const struct mt_frontend *frontend)
 {
-  return frontend->busy;
+  return frontend->in_flight;
 }
 
 struct mt_frontend *
--- a/fleet/frontend_ask.c
+++ b/fleet/frontend_ask.c
@@ -1,4 +1,4 @@
-/* Jobs asked for, counted and cancelled. */
+/* Queries, counts and cancels jobs. */
 #include "frontend_internal.h"
 
 #include "journal.h"
@@ -7,45 +7,45 @@
 
 #include <string.h>
 
-/* A caller that asks for a state waits no longer for the store; it may ask again at once. */
-#define STORE_MS 700
+/* Time-out of the store for a state query; the caller may ask again at once. */
+#define STORE_TIMEOUT_MS 700
 
-struct question
+struct query
 {
   struct mt_frontend *frontend;
   struct mt_exchange *exchange;
   char *pool;
-  char *id; /* of the job; NULL where the queue is asked for */
+  char *id; /* of the job; NULL for a query of the queue */
   char *route;
-  char *workspace; /* who asks */
+  char *workspace; /* of the caller */
   int64_t began;
-  enum mt_job_state open_state; /* unless it is cancelled */
+  enum mt_job_state open_state; /* the job's state unless it was cancelled */
 };
 
-static struct question *
-new_question (struct mt_frontend *frontend,
-              struct mt_exchange *exchange,
-              const struct mt_fleet_route *route,
-              const char *id,
-              const char *workspace)
+static struct query *
+new_query (struct mt_frontend *frontend,
+           struct mt_exchange *exchange,
+           const struct mt_fleet_route *route,
+           const char *id,
+           const char *workspace)
 {
-  struct question *q = g_new0 (struct question, 1);
-
-  *q = (struct question){ .frontend = frontend,
-                          .exchange = exchange,
-                          .pool = g_strdup (route->pool),
-                          .id = g_strdup (id),
-                          .route = g_strdup (route->name),
-                          .workspace = g_strdup (workspace),
-                          .began = mt_loop_now () };
-  frontend->busy++;
+  struct query *q = g_new0 (struct query, 1);
+
+  *q = (struct query){ .frontend = frontend,
+                       .exchange = exchange,
+                       .pool = g_strdup (route->pool),
+                       .id = g_strdup (id),
+                       .route = g_strdup (route->name),
+                       .workspace = g_strdup (workspace),
+                       .began = mt_loop_now () };
+  frontend->in_flight++;
   return q;
 }
 
 static void
-free_question (struct question *q)
+free_query (struct query *q)
 {
-  q->frontend->busy--;
+  q->frontend->in_flight--;
   mt_metrics_observe (q->frontend->options.metrics, MT_LATENCY_QUERY, mt_loop_now () - q->began);
   g_free (q->pool);
   g_free (q->id);
@@ -55,55 +55,55 @@
 }
 
 static void
-end_unanswered (struct question *q, unsigned status, const char *why)
+end_failed (struct query *q, unsigned status, const char *why)
 {
   mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_UNANSWERED);
   mt_journal_log (q->frontend->options.journal, "CALL_FAILED",
                   "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT,
                   q->id != NULL ? q->id : "-", q->pool, status, why, mt_loop_now () - q->began);
   mt_frontend_answer (q->exchange, status, NULL, MT_FRONTEND_RETRY_AFTER_S);
-  free_question (q);
+  free_query (q);
 }
 
 static void
-end_state (struct question *q, enum mt_job_state state)
+end_state (struct query *q, enum mt_job_state state)
 {
-  g_autofree char *body = q->frontend->options.words->ops->format_job_state (state);
+  g_autofree char *body = q->frontend->options.codec->ops->format_job_state (state);
 
   mt_frontend_answer (q->exchange, 200, body, 0);
-  free_question (q);
+  free_query (q);
 }
 
 static void
-end_no_job (struct question *q)
+end_no_job (struct query *q)
 {
   mt_frontend_answer (q->exchange, 410, NULL, 0);
-  free_question (q);
+  free_query (q);
 }
 
 static void
 on_cancel_key (void *data, const struct mt_kv_reply *reply)
 {
-  struct question *q = data;
+  struct query *q = data;
 
   if (reply->status == MT_KV_OK)
     end_state (q, MT_JOB_CANCELLED);
   else if (reply->status == MT_KV_MISSING)
     end_state (q, q->open_state);
   else
-    end_unanswered (q, 503, "the store did not answer");
+    end_failed (q, 503, "the store did not answer");
 }
 
 static void
 on_progress_key (void *data, const struct mt_kv_reply *reply)
 {
-  struct question *q = data;
+  struct query *q = data;
   enum mt_job_state state = MT_JOB_QUEUED;
   g_autofree char *key = NULL;
 
   if (reply->status != MT_KV_OK && reply->status != MT_KV_MISSING)
     {
-      end_unanswered (q, 503, "the store did not answer");
+      end_failed (q, 503, "the store did not answer");
       return;
     }
   if (reply->status == MT_KV_OK && reply->n_items > 0)
@@ -115,12 +115,13 @@
     }
   q->open_state = state == MT_JOB_UNKNOWN ? MT_JOB_QUEUED : state;
   key = mt_pool_cancel_key (q->pool, q->id);
-  mt_kv_read (&q->frontend->options.kv, key, STORE_MS, on_cancel_key, q);
+  mt_kv_read (&q->frontend->options.kv, key, STORE_TIMEOUT_MS, on_cancel_key, q);
 }
 
-/* Another workspace's job does not exist for whoever asks. */
+/* Whether the reply has the job and the caller may see it: another workspace's job counts as
+ * missing. */
 static bool
-finds_job (const struct question *q, const struct mt_kv_reply *reply)
+has_visible_job (const struct query *q, const struct mt_kv_reply *reply)
 {
   struct mt_pool_submission stored = { 0 };
   bool found = reply->status == MT_KV_OK && reply->n_items > 0;
@@ -134,44 +135,44 @@
 static void
 on_job_key (void *data, const struct mt_kv_reply *reply)
 {
-  struct question *q = data;
+  struct query *q = data;
   g_autofree char *key = NULL;
 
-  if (reply->status == MT_KV_MISSING || (reply->status == MT_KV_OK && !finds_job (q, reply)))
+  if (reply->status == MT_KV_MISSING || (reply->status == MT_KV_OK && !has_visible_job (q, reply)))
     {
       end_no_job (q);
       return;
     }
   if (reply->status != MT_KV_OK)
     {
-      end_unanswered (q, 503, "the store did not answer");
+      end_failed (q, 503, "the store did not answer");
       return;
     }
   key = mt_pool_progress_key (q->pool, q->id);
-  mt_kv_read (&q->frontend->options.kv, key, STORE_MS, on_progress_key, q);
+  mt_kv_read (&q->frontend->options.kv, key, STORE_TIMEOUT_MS, on_progress_key, q);
 }
 
-/* Nobody leads the pool, or its leader doesn't know the job: only the store can say that a job does
- * not exist. */
+/* Used if the pool has no leader or its leader does not know the job: only the store can say that a
+ * job does not exist. */
 static void
-ask_store (struct question *q)
+query_store (struct query *q)
 {
   g_autofree char *key = mt_pool_job_key (q->pool, q->id);
 
   mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_STORE);
-  mt_kv_read (&q->frontend->options.kv, key, STORE_MS, on_job_key, q);
+  mt_kv_read (&q->frontend->options.kv, key, STORE_TIMEOUT_MS, on_job_key, q);
 }
 
 static void
 on_leader_state (void *data, const struct mt_mesh_args *args)
 {
-  struct question *q = data;
+  struct query *q = data;
   enum mt_job_state state
       = args != NULL && args->n == 1 ? mt_job_state_parse (args->at[0]) : MT_JOB_UNKNOWN;
 
   if (state == MT_JOB_UNKNOWN)
     {
-      ask_store (q);
+      query_store (q);
       return;
     }
   mt_metrics_increment (q->frontend->options.metrics, MT_COUNT_QUERIES_LEADER);
@@ -181,7 +182,7 @@
 static struct mt_pool *
 loaded_pool (struct mt_frontend *frontend, const char *name)
 {
-  struct mt_pool *pool = frontend->options.local (frontend->options.ctx, name);
+  struct mt_pool *pool = frontend->options.local_pool (frontend->options.ctx, name);
 
   return pool != NULL && mt_pool_is_loaded (pool) ? pool : NULL;
 }
@@ -193,39 +194,39 @@
                          const char *id,
                          const char *workspace)
 {
-  struct mt_pool *local = loaded_pool (frontend, route->pool);
-  struct question *q = new_question (frontend, exchange, route, id, workspace);
+  struct mt_pool *local_pool = loaded_pool (frontend, route->pool);
+  struct query *q = new_query (frontend, exchange, route, id, workspace);
   struct mt_mesh_args args
       = { 3, { mt_str_from (q->pool), mt_str_from (q->id), mt_str_from (q->workspace) } };
   enum mt_job_state state = MT_JOB_UNKNOWN;
 
   mt_metrics_increment (frontend->options.metrics, MT_COUNT_QUERIES);
-  /* A leader that may have been replaced unnoticed must not tell what is no longer true. */
-  if (local != NULL && mt_cluster_lease_is_valid (frontend->options.cluster))
-    state = mt_pool_state_for (local, id, workspace);
+  /* A leader that may have been replaced without noticing must not report an obsolete state. */
+  if (local_pool != NULL && mt_cluster_lease_is_valid (frontend->options.cluster))
+    state = mt_pool_state_for (local_pool, id, workspace);
   if (state != MT_JOB_UNKNOWN)
     end_state (q, state);
-  else if (local != NULL
+  else if (local_pool != NULL
            || !mt_frontend_send_leader (frontend, q->pool, MT_MESH_STATE, &args, on_leader_state,
                                         q))
-    ask_store (q);
+    query_store (q);
 }
 
 static void
 on_leader_pending (void *data, const struct mt_mesh_args *args)
 {
-  struct question *q = data;
+  struct query *q = data;
   g_autofree char *body = NULL;
   unsigned long long jobs = 0;
 
   if (args == NULL || args->n != 1 || !mt_str_to_u64 (args->at[0], &jobs))
     {
-      end_unanswered (q, 503, "the pool's leader did not answer");
+      end_failed (q, 503, "the pool's leader did not answer");
       return;
     }
-  body = q->frontend->options.words->ops->format_pending ((unsigned) jobs);
+  body = q->frontend->options.codec->ops->format_pending ((unsigned) jobs);
   mt_frontend_answer (q->exchange, 200, body, 0);
-  free_question (q);
+  free_query (q);
 }
 
 void
@@ -233,37 +234,37 @@
                            struct mt_exchange *exchange,
                            const struct mt_fleet_route *route)
 {
-  struct mt_pool *local = loaded_pool (frontend, route->pool);
-  struct question *q = new_question (frontend, exchange, route, NULL, "");
+  struct mt_pool *local_pool = loaded_pool (frontend, route->pool);
+  struct query *q = new_query (frontend, exchange, route, NULL, "");
   struct mt_mesh_args args = { 2, { mt_str_from (q->pool), mt_str_from (q->route) } };
 
   mt_metrics_increment (frontend->options.metrics, MT_COUNT_QUERIES);
-  if (local != NULL)
+  if (local_pool != NULL)
     {
-      g_autofree char *body = frontend->options.words->ops->format_pending (
-          mt_scheduler_pending_jobs (mt_pool_scheduler (local), route->name));
+      g_autofree char *body = frontend->options.codec->ops->format_pending (
+          mt_scheduler_pending_jobs (mt_pool_scheduler (local_pool), route->name));
 
       mt_frontend_answer (exchange, 200, body, 0);
-      free_question (q);
+      free_query (q);
     }
   else if (!mt_frontend_send_leader (frontend, q->pool, MT_MESH_PENDING, &args, on_leader_pending,
                                      q))
-    end_unanswered (q, 503, "nobody leads the pool");
+    end_failed (q, 503, "the pool has no known leader");
 }
 
 /* ---- cancels ---- */
 
-static void send_cancel (struct question *q);
+static void send_cancel (struct query *q);
 
 static void
-end_cancel (struct question *q)
+end_cancel (struct query *q)
 {
   struct mt_frontend *frontend = q->frontend;
-  struct mt_pool *local = frontend->options.local (frontend->options.ctx, q->pool);
+  struct mt_pool *local_pool = frontend->options.local_pool (frontend->options.ctx, q->pool);
   struct mt_mesh_args args = { 2, { mt_str_from (q->pool), mt_str_from (q->id) } };
 
-  if (local != NULL)
-    mt_pool_handle_cancel (local, q->id);
+  if (local_pool != NULL)
+    mt_pool_handle_cancel (local_pool, q->id);
   else
     mt_frontend_notify_leader (frontend, q->pool, MT_MESH_CANCELLED, &args);
   mt_metrics_increment (frontend->options.metrics, MT_COUNT_CANCELS);
@@ -271,50 +272,50 @@
                   "id=%s pool=%s took_ms=%" G_GINT64_FORMAT, q->id, q->pool,
                   mt_loop_now () - q->began);
   mt_frontend_answer (q->exchange, 200, NULL, 0);
-  free_question (q);
+  free_query (q);
 }
 
 static bool
-out_of_time (const struct question *q)
+deadline_passed (const struct query *q)
 {
-  return mt_loop_now () - q->began >= MT_FRONTEND_SETTLE_MS;
+  return mt_loop_now () - q->began >= MT_FRONTEND_DEADLINE_MS;
 }
 
 static void
 on_cancel_stored (void *data, const struct mt_kv_reply *reply)
 {
-  struct question *q = data;
+  struct query *q = data;
 
   if (reply->status == MT_KV_OK || reply->status == MT_KV_CONFLICT)
     end_cancel (q);
-  else if (out_of_time (q))
-    end_unanswered (q, 504, "the store did not answer");
+  else if (deadline_passed (q))
+    end_failed (q, 504, "the store did not answer");
   else
     send_cancel (q);
 }
 
 static void
-send_cancel (struct question *q)
+send_cancel (struct query *q)
 {
   g_autofree char *key = mt_pool_cancel_key (q->pool, q->id);
   struct mt_kv_expect expect = { key, 0 };
   struct mt_kv_put put = { .key = key, .value = MT_STR ("{}") };
   struct mt_kv_txn txn = { &expect, 1, &put, 1, NULL, 0 };
 
-  mt_kv_write (&q->frontend->options.kv, &txn, MT_FRONTEND_TXN_MS, on_cancel_stored, q);
+  mt_kv_write (&q->frontend->options.kv, &txn, MT_FRONTEND_TXN_TIMEOUT_MS, on_cancel_stored, q);
 }
 
 static void
 on_cancel_job (void *data, const struct mt_kv_reply *reply)
 {
-  struct question *q = data;
+  struct query *q = data;
 
-  if (reply->status == MT_KV_MISSING || (reply->status == MT_KV_OK && !finds_job (q, reply)))
+  if (reply->status == MT_KV_MISSING || (reply->status == MT_KV_OK && !has_visible_job (q, reply)))
     end_no_job (q);
   else if (reply->status == MT_KV_OK)
     send_cancel (q);
   else
-    end_unanswered (q, reply->status == MT_KV_REFUSED ? 503 : 504, "the store did not answer");
+    end_failed (q, reply->status == MT_KV_REFUSED ? 503 : 504, "the store did not answer");
 }
 
 void
@@ -324,8 +325,8 @@
                     const char *id,
                     const char *workspace)
 {
-  struct question *q = new_question (frontend, exchange, route, id, workspace);
+  struct query *q = new_query (frontend, exchange, route, id, workspace);
   g_autofree char *key = mt_pool_job_key (q->pool, q->id);
 
-  mt_kv_read (&frontend->options.kv, key, MT_FRONTEND_TXN_MS, on_cancel_job, q);
+  mt_kv_read (&frontend->options.kv, key, MT_FRONTEND_TXN_TIMEOUT_MS, on_cancel_job, q);
 }
--- a/fleet/frontend_internal.h
+++ b/fleet/frontend_internal.h
@@ -1,4 +1,4 @@
-/* The front end's parts share these; nobody else does. */
+/* Private to the front end's source files. */
 #ifndef MT_FLEET_FRONTEND_INTERNAL_H
 #define MT_FLEET_FRONTEND_INTERNAL_H
 
@@ -6,14 +6,15 @@
 
 #include "medlartrack/admission.h"
 
-/* The store's answer to a submission is waited for so long in all; then its outcome is unknown, and
- * the caller's retry under the same id settles it. A caller gives up after some 3 s. */
-#define MT_FRONTEND_SETTLE_MS 1200
-#define MT_FRONTEND_TXN_MS    600
-/* The pool's leader answers from memory; if it doesn't, the store knows. */
-#define MT_FRONTEND_LEADER_MS 350
-/* When to come back: the store refuses for seconds at a time, a free leadership is taken within
- * two. */
+/* Deadline of a submission: after it the outcome is unknown, and a retry by the caller under the
+ * same id finds it out. Callers give up after some 3 s. */
+#define MT_FRONTEND_DEADLINE_MS    1200
+#define MT_FRONTEND_TXN_TIMEOUT_MS 600
+/* Time-out of a query to the pool's leader, which answers from memory; afterwards the store is
+ * read. */
+#define MT_FRONTEND_LEADER_TIMEOUT_MS 350
+/* Retry-After value: the store refuses for seconds at a time, and a free leadership is claimed
+ * within two. */
 #define MT_FRONTEND_RETRY_AFTER_S 1
 
 struct mt_frontend
@@ -21,36 +22,36 @@
   struct event_base *base;
   struct mt_frontend_options options;
   const struct mt_fleet_config *config;
-  GQueue submits; /* not in a transaction yet */
+  GQueue submits; /* queued, not in a transaction yet */
   struct mt_admission *admission;
   unsigned txns;
-  unsigned busy;
-  int64_t no_outlook_until; /* a leader that was asked for one did not answer */
+  unsigned in_flight;
+  int64_t estimate_paused_until; /* no estimate is requested before: a leader did not answer */
 };
 
-/* body NULL: an empty object. */
+/* body: JSON, or NULL for an empty object. retry_after_s: 0 for no Retry-After header. */
 void mt_frontend_answer (struct mt_exchange *exchange,
                          unsigned status,
                          const char *body,
                          unsigned retry_after_s);
-/* To whoever leads the pool elsewhere; false where nobody is known to. */
+/* Sends a call to the pool's leader; returns false if the leader is not known. */
 bool mt_frontend_send_leader (struct mt_frontend *frontend,
                               const char *pool,
                               enum mt_mesh_method method,
                               const struct mt_mesh_args *args,
                               mt_mesh_done done,
                               void *data);
-/* A note that wants no reply. */
+/* Sends a message to the pool's leader without waiting for a reply. */
 void mt_frontend_notify_leader (struct mt_frontend *frontend,
                                 const char *pool,
                                 enum mt_mesh_method method,
                                 const struct mt_mesh_args *args);
 
-/* Whole seconds after which to come back, at least the wait and spread over as long again by draw
- * (0 to 1): all that were refused would return together. */
+/* Retry-After value in whole seconds: the wait plus a random part of up to the same length, by draw
+ * (0 to 1), so that refused callers do not all return together. */
 unsigned mt_frontend_retry_after_s (int64_t wait_ms, double draw);
 
-/* workspace: the caller's; "" where the route asks for no key. */
+/* workspace: of the caller; "" if the route asks for no key. */
 /* frontend_submit.c */
 struct mt_admission *mt_frontend_new_admission (void);
 void mt_frontend_submit (struct mt_frontend *frontend,
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -1,4 +1,4 @@
-/* Jobs handed in: stored first, then acknowledged, then told to the pool's leader. */
+/* Submits jobs: stores them, acknowledges them and then notifies the pool's leader. */
 #include "frontend_internal.h"
 
 #include "journal.h"
@@ -7,17 +7,18 @@
 
 #include <string.h>
 
-/* A store that refuses is asked again after this: the refusal says that nothing was done. */
-#define AGAIN_MS 80
-/* Submissions of one transaction: an expectation and a put each. */
-#define PER_TXN 15
-/* Transactions of submissions on their way: what comes meanwhile goes into the next one. */
-#define TXNS_AT_A_TIME 2U
+/* Delay before retrying a write that the store refused or did not answer. A refusal says that
+ * nothing was done. */
+#define RETRY_MS 80
+/* Submissions of one transaction; each takes a precondition and a put. */
+#define SUBMITS_PER_TXN 15
+/* Transactions of submissions in flight; submissions meanwhile go into the next one. */
+#define MAX_TXNS_IN_FLIGHT 2U
 
-/* The pool's leader answers from memory in a few ms. One that did not is not asked for a while:
- * each submission would wait for it. */
-#define OUTLOOK_MS    250
-#define NO_OUTLOOK_MS 1000
+/* Time-out of a wait estimate: the pool's leader answers from memory in a few ms. After a time-out
+ * no leader is asked for a while, because each submission would wait for it. */
+#define ESTIMATE_TIMEOUT_MS 250
+#define ESTIMATE_PAUSE_MS   1000
 
 struct submit
 {
@@ -25,28 +26,28 @@
   struct mt_exchange *exchange;
   char *pool;
   char *id;
-  char *key; /* in the store */
+  char *key; /* key in the store */
   char *value;
   size_t value_len;
   int64_t began;
-  int64_t again_ms; /* it is refused, and could be served so much later; 0 */
-  bool unsettled;   /* a write of it had no answer */
+  int64_t retry_ms;     /* delay after which a refused job could be served; else 0 */
+  bool outcome_unknown; /* a write of it had no answer, so it may be stored */
 };
 
 struct txn
 {
   struct mt_frontend *frontend;
   GPtrArray *submits;
-  struct mt_timer *again;
+  struct mt_timer *retry_timer;
   int64_t sent;
 };
 
 struct mt_admission *
 mt_frontend_new_admission (void)
 {
-  static const struct mt_admission_settings settings = { .batch_size = PER_TXN,
-                                                         .parallel_writes = TXNS_AT_A_TIME,
-                                                         .max_wait_ms = MT_FRONTEND_SETTLE_MS };
+  static const struct mt_admission_settings settings = { .batch_size = SUBMITS_PER_TXN,
+                                                         .parallel_writes = MAX_TXNS_IN_FLIGHT,
+                                                         .max_wait_ms = MT_FRONTEND_DEADLINE_MS };
 
   return mt_admission_create (&settings);
 }
@@ -65,29 +66,30 @@
   g_free (s);
 }
 
-/* The pool's leader learns of it at once; where it doesn't, its watch brings it later. */
+/* Notifies the pool's leader at once; if the message is lost, the leader's watch brings the job
+ * later. */
 static void
-tell_leader (struct mt_frontend *frontend, const struct submit *s)
+notify_leader (struct mt_frontend *frontend, const struct submit *s)
 {
-  struct mt_pool *local = frontend->options.local (frontend->options.ctx, s->pool);
+  struct mt_pool *local_pool = frontend->options.local_pool (frontend->options.ctx, s->pool);
   struct mt_str value = { s->value, s->value_len };
   struct mt_mesh_args args = { 3, { mt_str_from (s->pool), mt_str_from (s->key), value } };
 
-  if (local != NULL)
-    mt_pool_handle_submission (local, s->key, value, true);
+  if (local_pool != NULL)
+    mt_pool_handle_submission (local_pool, s->key, value, true);
   else
     mt_frontend_notify_leader (frontend, s->pool, MT_MESH_SUBMITTED, &args);
 }
 
-/* A true refusal, of which nothing is under way, says when its turn would come; a caller whose
- * outcome is unknown settles it by asking again soon. */
+/* A refusal without a write in flight gets the time when it could be served; a caller whose outcome
+ * is unknown retries soon to find it out. */
 static unsigned
 retry_after_s (const struct submit *s, unsigned status)
 {
   const struct mt_frontend *frontend = s->frontend;
 
-  if (s->again_ms > 0)
-    return mt_frontend_retry_after_s (s->again_ms, g_random_double ());
+  if (s->retry_ms > 0)
+    return mt_frontend_retry_after_s (s->retry_ms, g_random_double ());
   if (status == 503)
     return mt_admission_retry_after_s (frontend->admission, frontend->submits.length,
                                        g_random_double ());
@@ -102,36 +104,36 @@
     unsigned status;
     enum mt_counter counter;
     const char *event;
-  } ways[] = {
+  } outcomes[] = {
     { 200, MT_COUNT_ACCEPTED, "JOB_ACCEPTED" },
     { 504, MT_COUNT_OUTCOME_UNKNOWN, "JOB_UNSETTLED" },
     { 0, MT_COUNT_REFUSED, "JOB_REFUSED" },
   };
-  size_t way = 0;
+  size_t outcome = 0;
   int64_t took = mt_loop_now () - s->began;
 
-  while (ways[way].status != 0 && ways[way].status != status)
-    way++;
-  mt_metrics_increment (s->frontend->options.metrics, ways[way].counter);
+  while (outcomes[outcome].status != 0 && outcomes[outcome].status != status)
+    outcome++;
+  mt_metrics_increment (s->frontend->options.metrics, outcomes[outcome].counter);
   mt_metrics_observe (s->frontend->options.metrics, MT_LATENCY_SUBMIT, took);
-  mt_journal_log (s->frontend->options.journal, ways[way].event,
+  mt_journal_log (s->frontend->options.journal, outcomes[outcome].event,
                   "id=%s pool=%s status=%u why=%s took_ms=%" G_GINT64_FORMAT, s->id, s->pool,
                   status, why, took);
   mt_frontend_answer (s->exchange, status, NULL, retry_after_s (s, status));
-  s->frontend->busy--;
+  s->frontend->in_flight--;
   free_submit (s);
 }
 
 static void
 accept_submit (struct submit *s, const char *why)
 {
-  tell_leader (s->frontend, s);
+  notify_leader (s->frontend, s);
   end_submit (s, 200, why);
 }
 
-/* The key is there: the same job handed in twice, or another one under its id. */
+/* The key exists already: either the same job was submitted twice, or another job has this id. */
 static void
-settle_submit (struct submit *s, const struct mt_kv_item *item)
+resolve_existing (struct submit *s, const struct mt_kv_item *item)
 {
   struct mt_pool_submission mine;
   struct mt_pool_submission theirs;
@@ -144,7 +146,7 @@
   mt_pool_submission_clear (&theirs);
   mt_pool_submission_clear (&mine);
   if (same)
-    accept_submit (s, "known already");
+    accept_submit (s, "already stored");
   else
     end_submit (s, 409, "another job has this id");
 }
@@ -163,7 +165,7 @@
 {
   t->frontend->txns--;
   g_ptr_array_unref (t->submits);
-  mt_timer_destroy (t->again);
+  mt_timer_destroy (t->retry_timer);
   g_free (t);
 }
 
@@ -176,10 +178,10 @@
   send_submits (frontend);
 }
 
-/* A conflict that names none of the submissions: the store contradicts itself for the moment, and
- * asking at once again would have no end. */
+/* Whether a conflict names none of the submissions. The store then contradicts itself for the
+ * moment, and an immediate retry could loop for ever. */
 static bool
-names_none (const struct txn *t, const struct mt_kv_reply *reply)
+names_no_submit (const struct txn *t, const struct mt_kv_reply *reply)
 {
   for (guint i = 0; i < t->submits->len; i++)
     {
@@ -193,7 +195,7 @@
 }
 
 static void
-conflict (struct txn *t, const struct mt_kv_reply *reply)
+handle_conflict (struct txn *t, const struct mt_kv_reply *reply)
 {
   for (guint i = 0; i < t->submits->len; i++)
     {
@@ -201,7 +203,7 @@
       const struct mt_kv_item *item = find_item (reply, s->key);
 
       if (item != NULL && item->revision > 0)
-        settle_submit (s, item);
+        resolve_existing (s, item);
       else
         g_queue_push_tail (&t->frontend->submits, s);
     }
@@ -214,32 +216,32 @@
   return frontend->options.store_answers (frontend->options.ctx);
 }
 
-/* A write without an answer may be done later still, so the job is never said to be refused after
- * one: the same write is sent again, which is settled by its own condition. Once the store answers
- * nobody, waiting on helps no caller: each is told at once what is known. */
+/* A write without an answer may still be done later, so its job must not be reported as refused:
+ * the same write is sent again, and its precondition settles the outcome. Once the store answers no
+ * daemon, waiting does not help callers: each gets what is known at once. */
 static void
-try_again (struct txn *t, bool unsettled)
+retry_or_end (struct txn *t, bool outcome_unknown)
 {
   int64_t now = mt_loop_now ();
-  bool hopeless = !store_answers (t->frontend);
+  bool store_is_down = !store_answers (t->frontend);
 
   for (guint i = 0; i < t->submits->len;)
     {
       struct submit *s = t->submits->pdata[i];
 
-      s->unsettled |= unsettled;
-      if (!hopeless && now - s->began < MT_FRONTEND_SETTLE_MS)
+      s->outcome_unknown |= outcome_unknown;
+      if (!store_is_down && now - s->began < MT_FRONTEND_DEADLINE_MS)
         {
           i++;
           continue;
         }
-      end_submit (s, s->unsettled ? 504 : 503, "the store did not answer");
+      end_submit (s, s->outcome_unknown ? 504 : 503, "the store did not answer");
       g_ptr_array_remove_index (t->submits, i);
     }
   if (t->submits->len == 0)
     end_txn (t);
   else
-    mt_timer_set (t->again, AGAIN_MS);
+    mt_timer_set (t->retry_timer, RETRY_MS);
 }
 
 static void
@@ -256,13 +258,13 @@
       end_txn (t);
       return;
     case MT_KV_CONFLICT:
-      if (names_none (t, reply))
-        try_again (t, false);
+      if (names_no_submit (t, reply))
+        retry_or_end (t, false);
       else
-        conflict (t, reply);
+        handle_conflict (t, reply);
       return;
     default:
-      try_again (t, reply->status == MT_KV_UNKNOWN);
+      retry_or_end (t, reply->status == MT_KV_UNKNOWN);
       return;
     }
 }
@@ -271,8 +273,8 @@
 send_txn (void *ctx)
 {
   struct txn *t = ctx;
-  struct mt_kv_expect expects[PER_TXN];
-  struct mt_kv_put puts[PER_TXN];
+  struct mt_kv_expect expects[SUBMITS_PER_TXN];
+  struct mt_kv_put puts[SUBMITS_PER_TXN];
   struct mt_kv_txn txn = {
     .expects = expects, .n_expects = t->submits->len, .puts = puts, .n_puts = t->submits->len
   };
@@ -285,87 +287,89 @@
       puts[i] = (struct mt_kv_put){ s->key, { s->value, s->value_len }, 0 };
     }
   t->sent = mt_loop_now ();
-  mt_kv_write (&t->frontend->options.kv, &txn, MT_FRONTEND_TXN_MS, on_stored, t);
+  mt_kv_write (&t->frontend->options.kv, &txn, MT_FRONTEND_TXN_TIMEOUT_MS, on_stored, t);
 }
 
-/* What came while others were on their way goes into one write. */
+/* Submissions that arrive while transactions are in flight share the next one. */
 static void
 send_submits (struct mt_frontend *frontend)
 {
-  while (!g_queue_is_empty (&frontend->submits) && frontend->txns < TXNS_AT_A_TIME)
+  while (!g_queue_is_empty (&frontend->submits) && frontend->txns < MAX_TXNS_IN_FLIGHT)
     {
       struct txn *t = g_new0 (struct txn, 1);
 
       t->frontend = frontend;
       t->submits = g_ptr_array_new ();
-      t->again = mt_timer_create (frontend->base, send_txn, t);
+      t->retry_timer = mt_timer_create (frontend->base, send_txn, t);
       frontend->txns++;
-      while (t->submits->len < PER_TXN && !g_queue_is_empty (&frontend->submits))
+      while (t->submits->len < SUBMITS_PER_TXN && !g_queue_is_empty (&frontend->submits))
         g_ptr_array_add (t->submits, g_queue_pop_head (&frontend->submits));
       send_txn (t);
     }
 }
 
-/* ---- outlook ---- */
+/* ---- wait estimate ---- */
 
 static void
-take_submit (struct submit *s)
+enqueue_submit (struct submit *s)
 {
   g_queue_push_tail (&s->frontend->submits, s);
   send_submits (s->frontend);
 }
 
-/* Nothing of it was sent, so the refusal is true. */
+/* Nothing was written yet, so the job can be refused for certain. */
 static void
-settle_outlook (struct submit *s, int64_t again_ms)
+apply_estimate (struct submit *s, int64_t retry_ms)
 {
-  s->again_ms = again_ms;
-  if (again_ms > 0)
-    end_submit (s, 503, "it can't be done while it is of use, nothing was sent");
+  s->retry_ms = retry_ms;
+  if (retry_ms > 0)
+    end_submit (s, 503, "the job cannot complete in time, nothing was sent");
   else
-    take_submit (s);
+    enqueue_submit (s);
 }
 
-/* Without an answer nothing is known of the pool, and nobody is refused for it. */
+/* Without an answer the pool's state is unknown, and the job is not refused for it. */
 static void
-on_outlook (void *data, const struct mt_mesh_args *args)
+on_estimate (void *data, const struct mt_mesh_args *args)
 {
   struct submit *s = data;
-  unsigned long long again_ms = 0;
+  unsigned long long retry_ms = 0;
 
   if (args == NULL)
-    s->frontend->no_outlook_until = mt_loop_now () + NO_OUTLOOK_MS;
+    s->frontend->estimate_paused_until = mt_loop_now () + ESTIMATE_PAUSE_MS;
   else if (args->n == 1)
-    mt_str_to_u64 (args->at[0], &again_ms);
-  settle_outlook (s, (int64_t) again_ms);
+    mt_str_to_u64 (args->at[0], &retry_ms);
+  apply_estimate (s, (int64_t) retry_ms);
 }
 
-/* The pool's leader is asked before anything is stored: what it can't do is refused at once. */
+/* Asks the pool's leader for a wait estimate before anything is stored: a job that cannot be done
+ * in time is refused at once. chain_ms: duration of the job's longest chain of steps. */
 static void
-ask_outlook (struct submit *s, const char *route, int64_t chain_ms)
+request_estimate (struct submit *s, const char *route, int64_t chain_ms)
 {
   struct mt_frontend *frontend = s->frontend;
-  struct mt_pool *local = frontend->options.local (frontend->options.ctx, s->pool);
+  struct mt_pool *local_pool = frontend->options.local_pool (frontend->options.ctx, s->pool);
   const char *holder = mt_cluster_holder (frontend->options.cluster, s->pool);
   g_autofree char *chain = g_strdup_printf ("%" G_GINT64_FORMAT, chain_ms);
   struct mt_mesh_args args
       = { 3, { mt_str_from (s->pool), mt_str_from (route), mt_str_from (chain) } };
 
-  if (local != NULL && mt_pool_is_loaded (local)
+  if (local_pool != NULL && mt_pool_is_loaded (local_pool)
       && mt_cluster_lease_is_valid (frontend->options.cluster))
-    settle_outlook (
-        s, mt_scheduler_estimate_wait (mt_pool_scheduler (local), route, chain_ms, mt_loop_now ())
-               .retry_after_ms);
-  else if (local != NULL || holder == NULL || mt_loop_now () < frontend->no_outlook_until)
-    take_submit (s);
+    apply_estimate (s, mt_scheduler_estimate_wait (mt_pool_scheduler (local_pool), route, chain_ms,
+                                                   mt_loop_now ())
+                           .retry_after_ms);
+  else if (local_pool != NULL || holder == NULL || mt_loop_now () < frontend->estimate_paused_until)
+    enqueue_submit (s);
   else
-    mt_mesh_send (frontend->options.mesh, holder, MT_MESH_OUTLOOK, &args, OUTLOOK_MS, on_outlook,
-                  s);
+    mt_mesh_send (frontend->options.mesh, holder, MT_MESH_OUTLOOK, &args, ESTIMATE_TIMEOUT_MS,
+                  on_estimate, s);
 }
 
-/* Of a job that is due later, or lasts, no outlook of now tells anything. */
+/* Whether a wait estimate makes sense: not for a job that is scheduled for later or has a
+ * long-running step. */
 static bool
-has_outlook (const struct mt_job_spec *spec)
+can_estimate (const struct mt_job_spec *spec)
 {
   for (unsigned i = 0; i < spec->n_steps; i++)
     if (spec->steps[i].long_running)
@@ -387,10 +391,10 @@
                                            .accepted_ms = mt_loop_wall_ms (),
                                            .body = body };
   struct mt_job_spec *spec
-      = frontend->options.words->ops->parse_job (id, route->name, body, &error);
+      = frontend->options.codec->ops->parse_job (id, route->name, body, &error);
   struct submit *s;
   int64_t chain_ms;
-  bool asks;
+  bool wants_estimate;
 
   if (spec == NULL)
     {
@@ -401,7 +405,7 @@
       return;
     }
   chain_ms = mt_job_spec_chain_ms (spec, 1.0);
-  asks = has_outlook (spec);
+  wants_estimate = can_estimate (spec);
   mt_job_spec_destroy (spec);
   s = g_new0 (struct submit, 1);
   s->frontend = frontend;
@@ -411,7 +415,7 @@
   s->key = mt_pool_job_key (route->pool, id);
   s->value = mt_pool_submission_pack (&submission, &s->value_len);
   s->began = mt_loop_now ();
-  frontend->busy++;
+  frontend->in_flight++;
   if (!store_answers (frontend))
     {
       end_submit (s, 503, "the store does not answer, nothing was sent");
@@ -419,11 +423,11 @@
     }
   if (!mt_admission_admits (frontend->admission, frontend->submits.length))
     {
-      end_submit (s, 503, "more wait than can be stored in time, nothing was sent");
+      end_submit (s, 503, "too many submissions wait to be stored, nothing was sent");
       return;
     }
-  if (asks)
-    ask_outlook (s, route->name, chain_ms);
+  if (wants_estimate)
+    request_estimate (s, route->name, chain_ms);
   else
-    take_submit (s);
+    enqueue_submit (s);
 }
--- a/fleet/grants_wire.c
+++ b/fleet/grants_wire.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-/* Values of each packed row; another number is refused as another version. */
+/* Number of values in each packed row; any other number means another version and is refused. */
 #define MESSAGE_FIELDS 4
 #define GRANT_FIELDS   2
 #define ACCOUNT_FIELDS 6
@@ -19,7 +19,7 @@
 }
 
 static void
-pack_room (msgpack_packer *packer, const struct mt_resources *room)
+pack_resources (msgpack_packer *packer, const struct mt_resources *room)
 {
   msgpack_pack_array (packer, MT_RESOURCE_KINDS);
   for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
@@ -27,7 +27,7 @@
 }
 
 static bool
-unpack_room (const msgpack_object *object, struct mt_resources *out)
+unpack_resources (const msgpack_object *object, struct mt_resources *out)
 {
   const msgpack_object *f = mt_pack_get_array (object, MT_RESOURCE_KINDS);
   uint64_t value;
@@ -72,7 +72,7 @@
     {
       msgpack_pack_array (&packer, GRANT_FIELDS);
       mt_pack_bin (&packer, mt_str_from (message->grants[i].workspace));
-      pack_room (&packer, &message->grants[i].resources);
+      pack_resources (&packer, &message->grants[i].resources);
     }
   *len = buffer.size;
   bytes = g_memdup2 (buffer.data, buffer.size);
@@ -96,7 +96,7 @@
       if (f == NULL || !unpack_name (&f[0], &rows[i].workspace))
         return false;
       out->n_grants++;
-      if (!unpack_room (&f[1], &rows[i].resources))
+      if (!unpack_resources (&f[1], &rows[i].resources))
         return false;
     }
   return true;
@@ -149,10 +149,10 @@
     {
       msgpack_pack_array (packer, ACCOUNT_FIELDS);
       mt_pack_bin (packer, mt_str_from (views[i].workspace));
-      pack_room (packer, &views[i].used);
-      pack_room (packer, &views[i].waiting);
-      pack_room (packer, &views[i].largest_waiting);
-      pack_room (packer, &views[i].granted);
+      pack_resources (packer, &views[i].used);
+      pack_resources (packer, &views[i].waiting);
+      pack_resources (packer, &views[i].largest_waiting);
+      pack_resources (packer, &views[i].granted);
       pack_bool (packer, views[i].has_grant);
     }
 }
@@ -175,9 +175,9 @@
       if (f == NULL || !unpack_name (&f[0], &views[i].workspace))
         return false;
       (*n)++;
-      if (!unpack_room (&f[1], &views[i].used) || !unpack_room (&f[2], &views[i].waiting)
-          || !unpack_room (&f[3], &views[i].largest_waiting)
-          || !unpack_room (&f[4], &views[i].granted)
+      if (!unpack_resources (&f[1], &views[i].used) || !unpack_resources (&f[2], &views[i].waiting)
+          || !unpack_resources (&f[3], &views[i].largest_waiting)
+          || !unpack_resources (&f[4], &views[i].granted)
           || !mt_pack_get_bool (&f[5], &views[i].has_grant))
         return false;
     }
--- a/fleet/journal.c
+++ b/fleet/journal.c
@@ -9,28 +9,28 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines of one event a second: a surge brings some 60 jobs a second to the pools of a daemon. More
- * would cost processor time that the surge needs. */
-#define LINES_PER_EVENT 60
-/* What a reader that stands still may leave lying here. */
-#define MAX_HELD_BYTES (64 * 1024)
-/* Kinds of events that are counted apart; event_list.h has fewer. */
+/* Lines per event and second: a surge brings some 60 jobs a second to the pools of a daemon. More
+ * lines would cost processor time that the surge needs. */
+#define MAX_EVENT_LINES_PER_S 60
+/* Bytes kept for a reader that has stopped reading; beyond that lines are dropped. */
+#define MAX_PENDING_BYTES (64 * 1024)
+/* Events that are counted separately; event_list.h has fewer. */
 #define MAX_EVENTS 128
 
-struct bound
+struct event_stats
 {
-  unsigned lines; /* in this second */
-  unsigned left_out;
-  uint64_t told; /* so far, lines left out included */
+  unsigned lines; /* written in the current second */
+  unsigned dropped;
+  uint64_t logged; /* total so far, dropped lines included */
 };
 
 struct mt_journal
 {
   int fd;
   char *name;
-  GString *held; /* not taken by the reader yet */
+  GString *pending; /* bytes not written to fd yet */
   int64_t second;
-  struct bound bounds[MAX_EVENTS];
+  struct event_stats stats[MAX_EVENTS];
 };
 
 struct mt_journal *
@@ -40,7 +40,7 @@
 
   j->fd = fd;
   j->name = g_strdup (name);
-  j->held = g_string_new (NULL);
+  j->pending = g_string_new (NULL);
   fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) | O_NONBLOCK);
   return j;
 }
@@ -50,7 +50,7 @@
 {
   if (j == NULL)
     return;
-  g_string_free (j->held, TRUE);
+  g_string_free (j->pending, TRUE);
   g_free (j->name);
   g_free (j);
 }
@@ -70,25 +70,25 @@
   return MAX_EVENTS - 1;
 }
 
-/* A reader that stands still costs lines, never time. Part of a line that was not taken stays, so
- * that the next one begins on its own. */
+/* Writes pending bytes without blocking: a slow reader costs lines, never time. The unwritten rest
+ * of a line is kept, so that the next line starts on its own. */
 static void
-write_held (struct mt_journal *j)
+write_pending (struct mt_journal *j)
 {
-  while (j->held->len > 0)
+  while (j->pending->len > 0)
     {
-      ssize_t n = write (j->fd, j->held->str, j->held->len);
+      ssize_t n = write (j->fd, j->pending->str, j->pending->len);
 
       if (n < 0 && errno == EINTR)
         continue;
       if (n <= 0)
         return;
-      g_string_erase (j->held, 0, n);
+      g_string_erase (j->pending, 0, n);
     }
 }
 
-/* A log holds what callers sent, which need not be UTF-8: bytes beyond ASCII are escaped one by
- * one, so that a line always is JSON. */
+/* Log fields may hold bytes from callers that are not UTF-8: bytes beyond ASCII are escaped one by
+ * one, so that a line is always valid JSON. */
 static void
 append_quoted (GString *out, const char *text, size_t len)
 {
@@ -116,7 +116,7 @@
   return true;
 }
 
-/* "key=value key=value"; a value reaches to the next " word=". */
+/* Appends "key=value key=value" as JSON members; a value ends before the next " word=". */
 static void
 append_fields (GString *out, const char *fields)
 {
@@ -159,12 +159,12 @@
 {
   int64_t wall = mt_loop_wall_ms ();
 
-  g_string_append_printf (j->held,
+  g_string_append_printf (j->pending,
                           "{\"at\":%" G_GINT64_FORMAT ".%03d,\"daemon\":\"%s\",\"event\":%d,"
                           "\"name\":\"%s\"",
                           wall / 1000, (int) (wall % 1000), j->name, id, event);
-  append_fields (j->held, fields);
-  g_string_append (j->held, "}\n");
+  append_fields (j->pending, fields);
+  g_string_append (j->pending, "}\n");
 }
 
 void
@@ -177,39 +177,39 @@
     {
       char fields[96];
 
-      j->bounds[i].lines = 0;
-      if (j->bounds[i].left_out == 0)
+      j->stats[i].lines = 0;
+      if (j->stats[i].dropped == 0)
         continue;
       g_snprintf (fields, sizeof fields, "of=%s lines=%u",
-                  i < MAX_EVENTS - 1 ? catalogue[i].name : "other", j->bounds[i].left_out);
-      j->bounds[i].left_out = 0;
+                  i < MAX_EVENTS - 1 ? catalogue[i].name : "other", j->stats[i].dropped);
+      j->stats[i].dropped = 0;
       append_line (j, MT_EVENT_LINES_LEFT_OUT, "LINES_LEFT_OUT", fields);
     }
-  write_held (j);
+  write_pending (j);
 }
 
 void
 mt_journal_log (struct mt_journal *j, const char *event, const char *format, ...)
 {
   const struct mt_event_info *info;
-  struct bound *bound = &j->bounds[find_event (event, &info)];
+  struct event_stats *event_stats = &j->stats[find_event (event, &info)];
   char fields[768];
   va_list args;
 
-  bound->told++;
+  event_stats->logged++;
   if (mt_loop_now () / 1000 != j->second)
     mt_journal_flush (j);
-  if (bound->lines >= LINES_PER_EVENT || j->held->len > MAX_HELD_BYTES)
+  if (event_stats->lines >= MAX_EVENT_LINES_PER_S || j->pending->len > MAX_PENDING_BYTES)
     {
-      bound->left_out++;
+      event_stats->dropped++;
       return;
     }
-  bound->lines++;
+  event_stats->lines++;
   va_start (args, format);
   g_vsnprintf (fields, sizeof fields, format, args);
   va_end (args);
   append_line (j, info != NULL ? info->id : 0, event, fields);
-  write_held (j);
+  write_pending (j);
 }
 
 void
@@ -220,7 +220,7 @@
   g_string_append (out, "# HELP medlartrack_events_total Log events, by name.\n"
                         "# TYPE medlartrack_events_total counter\n");
   for (size_t i = 0; catalogue[i].id != 0 && i < MAX_EVENTS; i++)
-    if (j->bounds[i].told > 0)
+    if (j->stats[i].logged > 0)
       g_string_append_printf (out, "medlartrack_events_total{event=\"%s\"} %" G_GUINT64_FORMAT "\n",
-                              catalogue[i].name, j->bounds[i].told);
+                              catalogue[i].name, j->stats[i].logged);
 }
--- a/fleet/loop.c
+++ b/fleet/loop.c
@@ -9,7 +9,7 @@
   struct event *event;
   mt_timer_call call;
   void *ctx;
-  int64_t due; /* 0 while it is not running */
+  int64_t due_at; /* by mt_loop_now; 0 while not running */
 };
 
 static int64_t
@@ -38,7 +38,7 @@
 {
   struct mt_timer *timer = ctx;
 
-  timer->due = 0;
+  timer->due_at = 0;
   timer->call (timer->ctx);
 }
 
@@ -67,20 +67,20 @@
 {
   struct timeval limit = { after_ms / 1000, after_ms % 1000 * 1000 };
 
-  timer->due = mt_loop_now () + after_ms;
+  timer->due_at = mt_loop_now () + after_ms;
   event_add (timer->event, &limit);
 }
 
 void
 mt_timer_clear (struct mt_timer *timer)
 {
-  timer->due = 0;
+  timer->due_at = 0;
   event_del (timer->event);
 }
 
 void
 mt_timer_set_if_sooner (struct mt_timer *timer, int64_t after_ms)
 {
-  if (timer->due == 0 || mt_loop_now () + after_ms < timer->due)
+  if (timer->due_at == 0 || mt_loop_now () + after_ms < timer->due_at)
     mt_timer_set (timer, after_ms);
 }
--- a/fleet/loop.h
+++ b/fleet/loop.h
@@ -1,4 +1,4 @@
-/* The clock and timers of the loop. */
+/* Clock and timers of the event loop. */
 #ifndef MT_FLEET_LOOP_H
 #define MT_FLEET_LOOP_H
 
@@ -7,20 +7,21 @@
 struct event_base;
 struct event;
 
-/* Milliseconds of a clock that counts suspension: leases run on while a machine is frozen. */
+/* Monotonic time in milliseconds that includes suspension: leases run on while a machine is
+ * frozen. */
 int64_t mt_loop_now (void);
 /* Unix time in milliseconds; may jump. */
 int64_t mt_loop_wall_ms (void);
 
 typedef void (*mt_timer_call) (void *ctx);
 struct mt_timer;
-/* A timer that is not running yet. */
+/* Creates a timer that is not running. */
 struct mt_timer *mt_timer_create (struct event_base *base, mt_timer_call call, void *ctx);
 void mt_timer_destroy (struct mt_timer *timer);
-/* Calls once after so many ms; replaces what was set before. */
+/* Runs the callback once after after_ms; replaces an earlier deadline. */
 void mt_timer_set (struct mt_timer *timer, int64_t after_ms);
 void mt_timer_clear (struct mt_timer *timer);
-/* Sets it only where that is sooner than what is set. */
+/* Sets the timer only if it is not running or would run later. */
 void mt_timer_set_if_sooner (struct mt_timer *timer, int64_t after_ms);
 
 #endif
--- a/fleet/metrics.h
+++ b/fleet/metrics.h
@@ -1,4 +1,5 @@
-/* Counters and latency histograms in the text form that scrapers read. On the loop's one thread. */
+/* Counters, gauges and latency histograms in the Prometheus text format. Not thread-safe: runs on
+ * the loop's thread. */
 #ifndef MT_FLEET_METRICS_H
 #define MT_FLEET_METRICS_H
 
@@ -50,7 +51,7 @@
 void mt_metrics_increment (struct mt_metrics *metrics, enum mt_counter counter);
 void mt_metrics_observe (struct mt_metrics *metrics, enum mt_latency latency, int64_t ms);
 void mt_metrics_set (struct mt_metrics *metrics, enum mt_gauge gauge, int64_t value);
-/* g_free the text. */
+/* Free the text with g_free. */
 char *mt_metrics_text (const struct mt_metrics *metrics,
                        const struct mt_traffic *traffic,
                        const struct mt_journal *journal);
--- a/fleet/neighbours.c
+++ b/fleet/neighbours.c
@@ -11,14 +11,14 @@
   mt_mesh_reply (call, &args);
 }
 
-/* Only a leader whose lease holds by its own clock answers for its pool. */
+/* Answers only if this daemon's lease is valid by its own clock. */
 static void
-reply_of_pool (const struct mt_peer_service *n,
-               struct mt_mesh_call *call,
-               enum mt_mesh_method method,
-               struct mt_pool *pool,
-               const char *what,
-               const char *workspace)
+reply_query (const struct mt_peer_service *n,
+             struct mt_mesh_call *call,
+             enum mt_mesh_method method,
+             struct mt_pool *pool,
+             const char *id_or_route,
+             const char *workspace)
 {
   char text[24];
 
@@ -29,19 +29,21 @@
     }
   if (method == MT_MESH_STATE)
     {
-      reply_text (call, mt_job_state_names[mt_pool_state_for (pool, what, workspace)]);
+      reply_text (call, mt_job_state_names[mt_pool_state_for (pool, id_or_route, workspace)]);
       return;
     }
-  g_snprintf (text, sizeof text, "%u", mt_scheduler_pending_jobs (mt_pool_scheduler (pool), what));
+  g_snprintf (text, sizeof text, "%u",
+              mt_scheduler_pending_jobs (mt_pool_scheduler (pool), id_or_route));
   reply_text (call, text);
 }
 
-/* A leader that is not sure of itself knows nothing of what its pool can do. */
+/* Gives no estimate unless this daemon's lease is valid: a leader that may have been replaced does
+ * not know the state of its pool. */
 static void
-reply_outlook (const struct mt_peer_service *n,
-               struct mt_mesh_call *call,
-               struct mt_pool *pool,
-               const struct mt_mesh_args *args)
+reply_estimate (const struct mt_peer_service *n,
+                struct mt_mesh_call *call,
+                struct mt_pool *pool,
+                const struct mt_mesh_args *args)
 {
   g_autofree char *route = g_strndup (args->at[1].data, args->at[1].len);
   unsigned long long chain_ms = 0;
@@ -63,10 +65,10 @@
 static void
 reply_report (struct mt_mesh_call *call, struct mt_pool *pool, const struct mt_mesh_args *args)
 {
-  struct mt_pool_directives notes
+  struct mt_pool_directives directives
       = { args->at[1], args->at[2], args->at[3], args->at[4], args->at[5] };
   size_t len = 0;
-  g_autofree char *bytes = mt_pool_apply_directives (pool, &notes, &len);
+  g_autofree char *bytes = mt_pool_apply_directives (pool, &directives, &len);
   struct mt_mesh_args reply = { 1, { { bytes, len } } };
 
   mt_mesh_reply (call, bytes != NULL ? &reply : NULL);
@@ -80,19 +82,19 @@
 {
   const struct mt_peer_service *n = ctx;
   g_autofree char *name = args->n > 0 ? g_strndup (args->at[0].data, args->at[0].len) : NULL;
-  g_autofree char *what = args->n > 1 ? g_strndup (args->at[1].data, args->at[1].len) : NULL;
-  struct mt_pool *pool = name != NULL ? n->local (n->ctx, name) : NULL;
+  g_autofree char *id_or_route = args->n > 1 ? g_strndup (args->at[1].data, args->at[1].len) : NULL;
+  struct mt_pool *pool = name != NULL ? n->local_pool (n->ctx, name) : NULL;
 
   switch (method)
     {
     case MT_MESH_SUBMITTED:
       if (pool != NULL && args->n == 3)
-        mt_pool_handle_submission (pool, what, args->at[2], true);
+        mt_pool_handle_submission (pool, id_or_route, args->at[2], true);
       mt_mesh_reply (call, NULL);
       return;
     case MT_MESH_CANCELLED:
       if (pool != NULL && args->n == 2)
-        mt_pool_handle_cancel (pool, what);
+        mt_pool_handle_cancel (pool, id_or_route);
       mt_mesh_reply (call, NULL);
       return;
     case MT_MESH_STATE:
@@ -100,14 +102,14 @@
         {
           g_autofree char *workspace = g_strndup (args->at[2].data, args->at[2].len);
 
-          reply_of_pool (n, call, method, pool, what, workspace);
+          reply_query (n, call, method, pool, id_or_route, workspace);
           return;
         }
       break;
     case MT_MESH_PENDING:
       if (args->n == 2)
         {
-          reply_of_pool (n, call, method, pool, what, "");
+          reply_query (n, call, method, pool, id_or_route, "");
           return;
         }
       break;
@@ -121,7 +123,7 @@
     case MT_MESH_OUTLOOK:
       if (pool != NULL && args->n == 3)
         {
-          reply_outlook (n, call, pool, args);
+          reply_estimate (n, call, pool, args);
           return;
         }
       break;
--- a/fleet/neighbours.h
+++ b/fleet/neighbours.h
@@ -1,5 +1,5 @@
-/* Calls of other daemons: for pools that this one leads, and for the store that it reaches. On the
- * loop's one thread. */
+/* Answers calls from other daemons: for pools that this one leads, and for the store if this one
+ * reaches it. Not thread-safe: runs on the loop's thread. */
 #ifndef MT_FLEET_NEIGHBOURS_H
 #define MT_FLEET_NEIGHBOURS_H
 
@@ -8,17 +8,17 @@
 #include "pool.h"
 #include "relay.h"
 
-/* What they are answered from; belongs to whoever made it, and outlives the mesh. */
+/* What the calls are answered from. Owned by its creator; must outlive the mesh. */
 struct mt_peer_service
 {
   struct mt_cluster *cluster;
   struct mt_relay *relay;
-  /* The pool that this daemon leads; NULL for any other. */
-  struct mt_pool *(*local) (void *ctx, const char *pool);
+  /* Returns the pool if this daemon leads it, else NULL. */
+  struct mt_pool *(*local_pool) (void *ctx, const char *pool);
   void *ctx;
 };
 
-/* A mesh's handler, with a struct mt_peer_service. */
+/* Call handler of a mesh; ctx is a struct mt_peer_service. */
 void mt_peer_service_handle (void *ctx,
                              struct mt_mesh_call *call,
                              enum mt_mesh_method method,
--- a/fleet/pool.c
+++ b/fleet/pool.c
@@ -8,28 +8,34 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Two writes begin no sooner after each other: what comes meanwhile goes into the next one. At a
- * surge of 440 tasks a second it makes some 30 writes a second of 880. */
+/* Least time between the starts of two write cycles; changes in between go into the next one. At a
+ * surge of 440 tasks a second this makes some 30 writes a second instead of 880. */
 #define CYCLE_MS 25
-/* Jobs of one transaction: an expectation and a put each, and one for the leadership. */
+/* Jobs of one transaction: each takes a precondition and a put, and the leadership takes one
+ * precondition. */
 #define JOBS_PER_TXN 15
-/* A write without an answer for so long is sent again; a calm store answers in 10 ms. */
-#define TXN_MS 800
-/* ... after this: where the first was done after all, the second conflicts with it. */
-#define TXN_AGAIN_MS 60
-/* How often a pool looks at its scheduler without being told of anything. */
+/* Time-out of a write, which is then sent again; the store answers in 10 ms when it is not
+ * overloaded. */
+#define TXN_TIMEOUT_MS 800
+/* Delay before the retry. If the first write was done after all, the second one conflicts with
+ * it. */
+#define TXN_RETRY_MS 60
+/* Interval at which the pool runs its scheduler if nothing else triggers it. */
 #define TICK_MS      20
 #define IDLE_TICK_MS 100
-/* The queue's watch is a backstop: submissions are told by the daemon that took them. */
-#define QUEUE_WAIT_MS 2000
-/* Between two of its waits: each costs a call and brings nothing that was not told. */
-#define QUEUE_PAUSE_MS 700
-/* A takeover reads its pool again so soon after a failed read; until then nothing is placed. */
-#define RANGE_AGAIN_MS 100
-/* How long past its own lease a leader goes on renewing its workers' in an outage. */
-#define OUTAGE_MS 10000
-
-/* Counted: the owner's reference, and one for each call under way. */
+/* Longest wait of the queue's watch. The watch is only a fallback: the daemon that accepts a
+ * submission also sends it to the leader. */
+#define QUEUE_WATCH_WAIT_MS 2000
+/* Pause between two watches: each costs a call, and usually brings only what the leader was already
+ * sent. */
+#define QUEUE_WATCH_PAUSE_MS 700
+/* Delay before a failed load of the pool is retried; nothing is placed until it succeeds. */
+#define RANGE_RETRY_MS 100
+/* How long after its own lease has expired a leader goes on renewing its workers' leases in an
+ * outage. */
+#define MAX_OUTAGE_RENEWAL_MS 10000
+
+/* Reference-counted: one reference for the owner and one for each call in flight. */
 struct mt_pool
 {
   struct event_base *base;
@@ -39,24 +45,24 @@
   struct mt_scheduler *sched;
   struct mt_watcher *queue;
   struct mt_timer *tick;
-  GHashTable *early_cancels; /* ids cancelled before their job was known */
+  GHashTable *early_cancels; /* ids of jobs cancelled before they were known here */
   bool destroyed;
   bool queue_listed;
   bool loaded;
   char *load_after;
   struct mt_timer *load_timer;
 
-  unsigned writes_left; /* transactions of the running cycle */
+  unsigned writes_remaining; /* unfinished transactions of the running cycle */
   int64_t cycle_began;
-  bool forgetting;
-  bool waking;
+  bool removal_in_flight;
+  bool in_wake;
 };
 
 struct write
 {
   struct mt_pool *pool;
   GPtrArray *ids;
-  struct mt_timer *again;
+  struct mt_timer *retry_timer;
 };
 
 static void wake (struct mt_pool *pool);
@@ -88,7 +94,7 @@
 }
 
 static void
-give_up (struct mt_pool *pool, const char *why)
+resign (struct mt_pool *pool, const char *why)
 {
   if (!pool->destroyed)
     mt_cluster_drop_leadership (pool->options.cluster, pool->name, why);
@@ -104,9 +110,9 @@
   struct mt_pool *pool = w->pool;
 
   g_ptr_array_unref (w->ids);
-  mt_timer_destroy (w->again);
+  mt_timer_destroy (w->retry_timer);
   g_free (w);
-  if (!pool->destroyed && --pool->writes_left == 0)
+  if (!pool->destroyed && --pool->writes_remaining == 0)
     {
       mt_scheduler_cycle_done (pool->sched, mt_loop_now ());
       wake (pool);
@@ -114,12 +120,11 @@
   unref (pool);
 }
 
-/* Someone else wrote the leadership's key, or it is gone: whatever this scheduler believes is over.
- * Else a progress key stands at another revision than thought: an earlier write whose answer was
- * lost.
- */
+/* Returns false if the leadership's key was written by another daemon or is gone: this scheduler's
+ * state is then obsolete. Otherwise a progress key has another revision than expected, because the
+ * answer to an earlier write was lost; takes over that revision. */
 static bool
-settle_conflict (struct write *w, const struct mt_kv_reply *reply)
+resolve_conflict (struct write *w, const struct mt_kv_reply *reply)
 {
   struct mt_pool *pool = w->pool;
 
@@ -157,9 +162,9 @@
       end_write (w);
       return;
     case MT_KV_CONFLICT:
-      if (!settle_conflict (w, reply))
+      if (!resolve_conflict (w, reply))
         {
-          give_up (pool, "a write was refused: the leadership is another's");
+          resign (pool, "a write was refused: another daemon holds the leadership");
           end_write (w);
           return;
         }
@@ -167,8 +172,9 @@
     default:
       break;
     }
-  /* The same write again: where the first was done after all, this one conflicts with it. */
-  mt_timer_set (w->again, TXN_AGAIN_MS);
+  /* Sends the same write again; if the first one was done after all, the second conflicts with
+   * it. */
+  mt_timer_set (w->retry_timer, TXN_RETRY_MS);
 }
 
 static void
@@ -203,7 +209,7 @@
     }
   txn.n_expects = 1 + n;
   txn.n_puts = n;
-  mt_kv_write (&pool->options.kv, &txn, TXN_MS, on_written, w);
+  mt_kv_write (&pool->options.kv, &txn, TXN_TIMEOUT_MS, on_written, w);
   for (size_t i = 0; i < n; i++)
     {
       g_free ((char *) puts[i].key);
@@ -219,14 +225,14 @@
   if (ids == NULL)
     return;
   pool->cycle_began = now;
-  pool->writes_left = (ids->len + JOBS_PER_TXN - 1) / JOBS_PER_TXN;
+  pool->writes_remaining = (ids->len + JOBS_PER_TXN - 1) / JOBS_PER_TXN;
   for (guint at = 0; at < ids->len; at += JOBS_PER_TXN)
     {
       struct write *w = g_new0 (struct write, 1);
 
       w->pool = ref (pool);
       w->ids = g_ptr_array_new_with_free_func (g_free);
-      w->again = mt_timer_create (pool->base, send_write, w);
+      w->retry_timer = mt_timer_create (pool->base, send_write, w);
       for (guint i = at; i < MIN (at + JOBS_PER_TXN, ids->len); i++)
         g_ptr_array_add (w->ids, g_strdup (ids->pdata[i]));
       send_write (w);
@@ -236,7 +242,7 @@
 
 /* ---- orders ---- */
 
-struct sent
+struct sent_order
 {
   struct mt_pool *pool;
   enum mt_order_kind kind;
@@ -246,18 +252,19 @@
   int64_t at;
 };
 
-static struct sent *
-new_sent (struct mt_pool *pool, const struct mt_order *order, int64_t now)
+static struct sent_order *
+new_sent_order (struct mt_pool *pool, const struct mt_order *order, int64_t now)
 {
-  struct sent *s = g_new0 (struct sent, 1);
+  struct sent_order *s = g_new0 (struct sent_order, 1);
 
-  *s = (struct sent){ ref (pool), order->kind, g_strdup (order->worker), g_strdup (order->task),
-                      order->run, now };
+  *s = (struct sent_order){
+    ref (pool), order->kind, g_strdup (order->worker), g_strdup (order->task), order->run, now
+  };
   return s;
 }
 
 static void
-free_sent (struct sent *s)
+free_sent_order (struct sent_order *s)
 {
   unref (s->pool);
   g_free (s->worker);
@@ -268,20 +275,20 @@
 static void
 on_hold (void *data, const struct mt_hold_report *report)
 {
-  struct sent *s = data;
+  struct sent_order *s = data;
 
   if (!s->pool->destroyed)
     {
       mt_scheduler_hold_answered (s->pool->sched, s->worker, report, s->at, mt_loop_now ());
       wake (s->pool);
     }
-  free_sent (s);
+  free_sent_order (s);
 }
 
 static void
 on_order (void *data, enum mt_answer answer, int64_t clock_ms)
 {
-  struct sent *s = data;
+  struct sent_order *s = data;
 
   if (!s->pool->destroyed)
     {
@@ -289,13 +296,13 @@
                                    clock_ms, mt_loop_now ());
       wake (s->pool);
     }
-  free_sent (s);
+  free_sent_order (s);
 }
 
 static void
 on_advice (void *data, char **rows, int64_t validity_ms)
 {
-  struct sent *s = data;
+  struct sent_order *s = data;
   struct mt_scheduler *sched = s->pool->sched;
 
   for (char **row = rows; !s->pool->destroyed && row != NULL && row[0] != NULL; row += 2)
@@ -305,14 +312,14 @@
       mt_scheduler_tickets_answered (sched, s->task, mt_loop_now (), rows != NULL);
       wake (s->pool);
     }
-  free_sent (s);
+  free_sent_order (s);
 }
 
 static void
 send_order (struct mt_pool *pool, const struct mt_order *order, int64_t now)
 {
   const struct mt_workers *workers = &pool->options.workers;
-  struct sent *s = new_sent (pool, order, now);
+  struct sent_order *s = new_sent_order (pool, order, now);
 
   if (order->kind == MT_ORDER_HOLD)
     workers->ops->hold (workers->ctx, order, pool->options.token, on_hold, s);
@@ -322,17 +329,17 @@
     workers->ops->order (workers->ctx, order, pool->options.token, on_order, s);
 }
 
-/* In an outage no successor can come, and the work that runs would lapse: its leases are renewed,
- * for a bounded time. Nothing is started or stopped. One that only is cut off itself sends nothing:
- * its successor counts on its leases to run out. */
+/* In a store outage no successor can take over, and the running work would lose its leases: renews
+ * them for a bounded time, and starts or stops nothing. A daemon that is only partitioned itself
+ * sends nothing: its successor relies on these leases expiring. */
 static void
-hold_on (struct mt_pool *pool)
+renew_leases_in_outage (struct mt_pool *pool)
 {
   struct mt_order order;
 
   while (!mt_cluster_lease_is_valid (pool->options.cluster)
-         && mt_cluster_lease_invalid_ms (pool->options.cluster) < OUTAGE_MS
-         && pool->options.store_is_out (pool->options.ctx)
+         && mt_cluster_lease_invalid_ms (pool->options.cluster) < MAX_OUTAGE_RENEWAL_MS
+         && pool->options.store_is_down (pool->options.ctx)
          && mt_scheduler_next_hold (pool->sched, mt_loop_now (), &order))
     {
       send_order (pool, &order, mt_loop_now ());
@@ -349,8 +356,8 @@
   return mt_scheduler_next_order (pool->sched, now, order);
 }
 
-/* A daemon that was frozen or cut off past its lease may have a successor: it sends nothing until
- * the store has confirmed the lease. The clock is read before each order. */
+/* A daemon that was suspended or partitioned for longer than its lease may have a successor: it
+ * sends nothing until the store has confirmed its lease. The clock is read before each order. */
 static void
 send_orders (struct mt_pool *pool)
 {
@@ -361,19 +368,19 @@
       send_order (pool, &order, mt_loop_now ());
       mt_order_clear (&order);
     }
-  hold_on (pool);
+  renew_leases_in_outage (pool);
   if (mt_scheduler_is_fenced (pool->sched))
-    give_up (pool, "a worker has seen a higher token");
+    resign (pool, "a worker has seen a higher fencing token");
 }
 
-/* ---- end of jobs ---- */
+/* ---- removal of ended jobs ---- */
 
 static void
-on_forgotten (void *data, const struct mt_kv_reply *reply)
+on_removed (void *data, const struct mt_kv_reply *reply)
 {
   struct write *w = data;
 
-  w->pool->forgetting = false;
+  w->pool->removal_in_flight = false;
   if (!w->pool->destroyed && reply->status == MT_KV_OK)
     for (guint i = 0; i < w->ids->len; i++)
       mt_scheduler_remove_job (w->pool->sched, w->ids->pdata[i]);
@@ -382,9 +389,9 @@
   g_free (w);
 }
 
-/* Records of jobs that ended long ago are removed, three keys a job. */
+/* Removes the three keys of one job that ended long ago. */
 static void
-forget_expired (struct mt_pool *pool, int64_t now)
+remove_expired_job (struct mt_pool *pool, int64_t now)
 {
   const char *id = mt_scheduler_expired_job (pool->sched, now);
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
@@ -392,7 +399,7 @@
   struct mt_kv_txn txn = { .expects = &expect, .n_expects = 1 };
   struct write *w;
 
-  if (id == NULL || pool->forgetting)
+  if (id == NULL || pool->removal_in_flight)
     return;
   g_ptr_array_add (keys, mt_pool_job_key (pool->name, id));
   g_ptr_array_add (keys, mt_pool_progress_key (pool->name, id));
@@ -403,20 +410,20 @@
   w->pool = ref (pool);
   w->ids = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (w->ids, g_strdup (id));
-  pool->forgetting = true;
-  mt_kv_write (&pool->options.kv, &txn, TXN_MS, on_forgotten, w);
+  pool->removal_in_flight = true;
+  mt_kv_write (&pool->options.kv, &txn, TXN_TIMEOUT_MS, on_removed, w);
 }
 
-/* ---- work ---- */
+/* ---- scheduling ---- */
 
 static void
 wake (struct mt_pool *pool)
 {
   int64_t now = mt_loop_now ();
 
-  if (!pool->loaded || pool->destroyed || pool->waking)
+  if (!pool->loaded || pool->destroyed || pool->in_wake)
     return;
-  pool->waking = true;
+  pool->in_wake = true;
   ref (pool);
   if (mt_scheduler_needs_cycle (pool->sched, now))
     {
@@ -427,7 +434,7 @@
     }
   if (!pool->destroyed)
     send_orders (pool);
-  pool->waking = false;
+  pool->in_wake = false;
   unref (pool);
 }
 
@@ -437,7 +444,7 @@
   struct mt_pool *pool = ctx;
 
   mt_timer_set (pool->tick, mt_scheduler_is_idle (pool->sched) ? IDLE_TICK_MS : TICK_MS);
-  forget_expired (pool, mt_loop_now ());
+  remove_expired_job (pool, mt_loop_now ());
   wake (pool);
 }
 
@@ -472,7 +479,7 @@
     }
   if (reply->status != MT_KV_OK)
     {
-      mt_timer_set (pool->load_timer, RANGE_AGAIN_MS);
+      mt_timer_set (pool->load_timer, RANGE_RETRY_MS);
       unref (pool);
       return;
     }
@@ -540,11 +547,11 @@
   if (mt_scheduler_has_job (pool->sched, id))
     return;
   if (mt_pool_submission_unpack (value, &submission))
-    spec = pool->options.words->ops->parse_job (id, submission.route, submission.body, &error);
+    spec = pool->options.codec->ops->parse_job (id, submission.route, submission.body, &error);
   if (spec == NULL)
     {
       mt_journal_log (pool->options.journal, "RECORD_UNREADABLE", "pool=%s key=%s why=%s",
-                      pool->name, key, error != NULL ? error->message : "no submission");
+                      pool->name, key, error != NULL ? error->message : "not a valid submission");
       mt_pool_submission_clear (&submission);
       return;
     }
@@ -567,10 +574,10 @@
     g_hash_table_add (pool->early_cancels, g_strdup (id));
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static void
-on_told (void *ctx, const char *name, const char *detail)
+on_scheduler_event (void *ctx, const char *name, const char *detail)
 {
   struct mt_pool *pool = ctx;
 
@@ -583,8 +590,8 @@
   struct mt_pool *pool = g_rc_box_new0 (struct mt_pool);
   g_autofree char *prefix = mt_pool_queue_prefix (options->name);
   struct mt_watcher_options watch = { .prefix = prefix,
-                                      .wait_ms = QUEUE_WAIT_MS,
-                                      .pause_ms = QUEUE_PAUSE_MS,
+                                      .wait_ms = QUEUE_WATCH_WAIT_MS,
+                                      .pause_ms = QUEUE_WATCH_PAUSE_MS,
                                       .on_item = on_queue_item,
                                       .on_listed = on_queue_listed,
                                       .ctx = pool };
@@ -595,7 +602,7 @@
   pool->options.name = pool->options.sched.name = pool->name;
   pool->leader_key = mt_cluster_leader_key (options->name);
   pool->sched = mt_scheduler_create (&pool->options.sched);
-  mt_scheduler_set_event_callback (pool->sched, on_told, pool);
+  mt_scheduler_set_event_callback (pool->sched, on_scheduler_event, pool);
   pool->early_cancels = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   pool->tick = mt_timer_create (base, on_tick, pool);
   pool->load_timer = mt_timer_create (base, load_page, pool);
--- a/fleet/pool_keys.c
+++ b/fleet/pool_keys.c
@@ -74,7 +74,7 @@
   return g_string_free (out, FALSE);
 }
 
-/* Of a value that was written before there were workspaces the second line ends with the time. */
+/* A value from a version without workspaces has only the time in its second line. */
 bool
 mt_pool_submission_unpack (struct mt_str value, struct mt_pool_submission *out)
 {
--- a/fleet/pool_report.c
+++ b/fleet/pool_report.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* Values of each packed row; another number is refused as another version. */
+/* Number of values in each packed row; any other number means another version and is refused. */
 #define REPORT_PARTS  3
 #define LOAD_FIELDS   14
 #define WORKER_FIELDS 10
--- a/fleet/ports.h
+++ b/fleet/ports.h
@@ -1,7 +1,8 @@
-/* What the fleet's daemon needs from outside, as tables of functions: store, workers, machines, and
- * the reading of what callers, operators and workers write. platform/ has the users' platform
- * behind them, tests have stand-ins. All calls are asynchronous on the loop's one thread; each
- * callback comes later, exactly once, and its memory is gone after it. */
+/* Interfaces of the fleet's daemon to its environment, as tables of functions: store, workers,
+ * machines, and the codec for what callers, operators and workers write. platform/ implements them
+ * for the users' platform, tests implement fakes. All calls are asynchronous on the loop's thread;
+ * each callback runs later and exactly once, and its arguments are valid only during the
+ * callback. */
 #ifndef MT_FLEET_PORTS_H
 #define MT_FLEET_PORTS_H
 
@@ -15,34 +16,34 @@
 {
   const char *key;
   struct mt_str value;
-  int64_t revision; /* of its last change; 0 where the key does not exist */
+  int64_t revision; /* of its last change; 0 if the key does not exist */
   bool deleted;
 };
 
 enum mt_kv_status
 {
   MT_KV_OK,
-  MT_KV_MISSING,   /* no such key, or no such lease */
-  MT_KV_CONFLICT,  /* an expectation did not hold: nothing was done */
-  MT_KV_COMPACTED, /* that much history is no longer there: list again */
-  MT_KV_REFUSED,   /* nothing was done */
-  MT_KV_UNKNOWN,   /* no answer: it may have been done, or be done yet */
+  MT_KV_MISSING,   /* no such key or lease */
+  MT_KV_CONFLICT,  /* a precondition did not hold; nothing was done */
+  MT_KV_COMPACTED, /* the history since that revision was compacted: list again */
+  MT_KV_REFUSED,   /* the store refused the call; nothing was done */
+  MT_KV_UNKNOWN,   /* no answer; it may have been done, or may still be done later */
 };
 
 struct mt_kv_reply
 {
   enum mt_kv_status status;
-  const struct mt_kv_item *items; /* found, changed, or in conflict */
+  const struct mt_kv_item *items; /* found, changed or in conflict */
   size_t n_items;
-  bool more;        /* the list goes on after its last key */
-  int64_t revision; /* the store's, or the write's own */
+  bool more;        /* the list continues after its last key */
+  int64_t revision; /* of the store; of a write: its own */
   int64_t lease;
   int64_t ttl_ms;
 };
 
 typedef void (*mt_kv_done) (void *data, const struct mt_kv_reply *reply);
 
-/* The key must be as it was at this revision; 0: it must not exist. */
+/* Precondition of a write: the key was last changed at this revision; 0: it does not exist. */
 struct mt_kv_expect
 {
   const char *key;
@@ -66,7 +67,7 @@
   size_t n_removes;
 };
 
-/* Most entries of a transaction, counted together. */
+/* Largest number of entries in a transaction, of all kinds together. */
 #define MT_KV_MAX_ENTRIES 32
 
 struct mt_kv_ops
@@ -74,7 +75,7 @@
   const char *name;
   const char *description;
   void (*get) (void *ctx, const char *key, int64_t timeout_ms, mt_kv_done done, void *data);
-  /* after: the last key of the page before; NULL for the first. */
+  /* after: the last key of the previous page; NULL for the first page. */
   void (*range) (void *ctx, const char *prefix, const char *after, mt_kv_done done, void *data);
   void (*watch) (void *ctx,
                  const char *prefix,
@@ -116,7 +117,7 @@
 
 typedef void (*mt_order_done) (void *data, enum mt_answer answer, int64_t clock_ms);
 typedef void (*mt_hold_done) (void *data, const struct mt_hold_report *report);
-/* rows: worker and ticket by turns, NULL-terminated; NULL where there was no answer. */
+/* rows: alternating worker and ticket, NULL-terminated; NULL if there was no answer. */
 typedef void (*mt_advice_done) (void *data, char **rows, int64_t validity_ms);
 
 struct mt_workers_ops
@@ -125,7 +126,7 @@
   const char *description;
   void (*hold) (
       void *ctx, const struct mt_order *order, int64_t token, mt_hold_done done, void *data);
-  /* START, STOP and PACE. */
+  /* Sends an MT_ORDER_START, MT_ORDER_STOP or MT_ORDER_PACE. */
   void (*order) (
       void *ctx, const struct mt_order *order, int64_t token, mt_order_done done, void *data);
   void (*advise) (void *ctx, const struct mt_order *order, mt_advice_done done, void *data);
@@ -154,20 +155,20 @@
   enum mt_machine_state state;
   char *zone;
   char *rack;
-  char *worker; /* its present life; NULL where there is none */
+  char *worker; /* id of its current worker; NULL if there is none */
   struct mt_resources resources;
 };
 
-/* machines: NULL where there was no answer. */
+/* machines: NULL if there was no answer. */
 typedef void (*mt_machines_done) (void *data, const struct mt_machine *machines, size_t n);
 
 enum mt_machine_answer
 {
   MT_MACHINE_DONE,
-  MT_MACHINE_FENCED,  /* a higher token has given orders for it */
-  MT_MACHINE_BUSY,    /* not up, or leaving */
-  MT_MACHINE_REFUSED, /* it can't be, not now or never */
-  MT_MACHINE_UNKNOWN, /* no answer: it may have been done */
+  MT_MACHINE_FENCED,  /* it has had an order with a higher token */
+  MT_MACHINE_BUSY,    /* it is not up, or is leaving */
+  MT_MACHINE_REFUSED, /* the machine cannot carry out the order, for now or for good */
+  MT_MACHINE_UNKNOWN, /* no answer; the order may have been carried out */
 };
 
 typedef void (*mt_machine_done) (void *data, enum mt_machine_answer answer);
@@ -197,7 +198,7 @@
   void *ctx;
 };
 
-/* ---- what others write ---- */
+/* ---- codec ---- */
 
 struct mt_fleet_route
 {
@@ -207,7 +208,7 @@
   char *pool;
   struct mt_route_policy terms;
   bool requires_advice; /* only workers named by the advisor may run its steps */
-  bool allow_anonymous; /* its callers need no key */
+  bool allow_anonymous; /* callers need no key */
 };
 
 struct mt_fleet_pool
@@ -230,28 +231,28 @@
 {
   struct mt_worker_entry worker;
   const char *pool;
-  void *memory; /* what the strings live in */
+  void *memory; /* owns the strings */
 };
 
 struct mt_wave
 {
   int64_t number;
   char **machines;          /* NULL-terminated */
-  int64_t deadline_ms;      /* from when it was asked for */
-  unsigned max_unavailable; /* down for it at a time */
+  int64_t deadline_ms;      /* relative to the operator's request */
+  unsigned max_unavailable; /* machines down for the wave at a time */
 };
 
 struct mt_codec_ops
 {
   const char *name;
   const char *description;
-  /* NULL with an error that names the place. */
+  /* Returns NULL with an error that names the faulty place. */
   struct mt_fleet_config *(*parse_config) (struct mt_str text, GError **error);
   struct mt_job_spec *(*parse_job) (const char *id,
                                     const char *route,
                                     struct mt_str text,
                                     GError **error);
-  /* False where it names no worker to use. */
+  /* Returns false if the entry names no usable worker. */
   bool (*parse_worker) (const char *key, struct mt_str text, struct mt_registry_entry *out);
   struct mt_wave *(*parse_wave) (struct mt_str text);
   char *(*format_wave_status) (bool completed);
@@ -262,15 +263,15 @@
 struct mt_codec
 {
   const struct mt_codec_ops *ops;
-  const char *key_header; /* in which a caller sends its key */
-  /* Where the platform keeps what others write. */
+  const char *key_header; /* HTTP header that carries a caller's key */
+  /* Keys and prefixes in the platform's store. */
   const char *config_key;
   const char *workers_prefix;
   const char *waves_prefix;
   const char *wave_status_prefix;
 };
 
-/* Frees what the route points to. */
+/* Frees the fields, not the struct. */
 void mt_fleet_route_clear (struct mt_fleet_route *route);
 void mt_fleet_config_free (struct mt_fleet_config *config);
 void mt_registry_entry_clear (struct mt_registry_entry *entry);
--- a/fleet/relay.c
+++ b/fleet/relay.c
@@ -5,120 +5,123 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A watch waits at the neighbour for as long as its own time-out says; the frame takes a little. */
-#define SLACK_MS 200
-/* A neighbour that could not help is left alone for this long. */
-#define USELESS_MS 1500
-/* What neighbours said counts for so long. */
-#define EVIDENCE_MS 2000
+/* Margin on a call's own time-out, for the frame's transfer: a watch waits at the other daemon for
+ * its full time-out. */
+#define FRAME_MARGIN_MS 200
+/* A daemon that could not reach the store is avoided for this time. */
+#define AVOID_MS 1500
+/* Validity of what other daemons reported about the store. */
+#define EVIDENCE_TTL_MS 2000
 
 struct mt_relay
 {
   struct mt_adapter *platform;
   struct mt_mesh *mesh;
   struct mt_cluster *cluster;
-  char *neighbour;     /* the one that helped last */
-  GHashTable *useless; /* address to when it may be asked again */
-  int64_t also_lost; /* when one in another data centre last said that it doesn't reach the store */
-  int64_t helped;    /* when one last did */
+  char *peer;                  /* daemon through which a call last succeeded; NULL if none */
+  GHashTable *avoid_until;     /* address -> time until which it is avoided */
+  int64_t outage_confirmed_at; /* when a daemon last confirmed that the store is unreachable */
+  int64_t reached_at;          /* when a call last succeeded through another daemon */
 };
 
-struct passed
+struct relayed_call
 {
   struct mt_relay *relay;
-  char *neighbour;
+  char *peer;
   mt_adapter_raw_done done;
   void *data;
 };
 
 static bool
-is_useless (struct mt_relay *relay, const char *address)
+is_avoided (struct mt_relay *relay, const char *address)
 {
-  int64_t *until = g_hash_table_lookup (relay->useless, address);
+  int64_t *until = g_hash_table_lookup (relay->avoid_until, address);
 
   return until != NULL && *until > mt_loop_now ();
 }
 
 static void
-set_useless (struct mt_relay *relay, const char *address)
+avoid (struct mt_relay *relay, const char *address)
 {
   int64_t *until = g_new (int64_t, 1);
 
-  *until = mt_loop_now () + USELESS_MS;
-  g_hash_table_replace (relay->useless, g_strdup (address), until);
+  *until = mt_loop_now () + AVOID_MS;
+  g_hash_table_replace (relay->avoid_until, g_strdup (address), until);
 }
 
-/* The one that helped last; else any other, so that not all choose the same. */
+/* Prefers the daemon through which a call last succeeded, else takes a random one, so that not all
+ * choose the same. Free with g_free; NULL if there is none. */
 static char *
-choose (struct mt_relay *relay)
+choose_peer (struct mt_relay *relay)
 {
-  g_auto (GStrv) others = mt_cluster_peers (relay->cluster);
-  guint n = g_strv_length (others);
+  g_auto (GStrv) peers = mt_cluster_peers (relay->cluster);
+  guint n = g_strv_length (peers);
   guint from = n > 0 ? (guint) g_random_int_range (0, (gint32) n) : 0;
 
-  if (relay->neighbour != NULL && !is_useless (relay, relay->neighbour))
-    return g_strdup (relay->neighbour);
+  if (relay->peer != NULL && !is_avoided (relay, relay->peer))
+    return g_strdup (relay->peer);
   for (guint i = 0; i < n; i++)
     {
-      const char *address = others[(from + i) % n];
+      const char *address = peers[(from + i) % n];
 
-      if (!is_useless (relay, address))
+      if (!is_avoided (relay, address))
         return g_strdup (address);
     }
   return NULL;
 }
 
 static void
-on_passed (void *ctx, const struct mt_mesh_args *args)
+on_relayed (void *ctx, const struct mt_mesh_args *args)
 {
-  struct passed *p = ctx;
+  struct relayed_call *p = ctx;
   struct mt_relay *relay = p->relay;
   unsigned long long status = 0;
   struct mt_str body = { "", 0 };
 
   if (args != NULL && args->n == 2 && mt_str_to_u64 (args->at[0], &status))
     body = args->at[1];
-  if (args != NULL && args->n == 0 && mt_cluster_can_confirm_outage (relay->cluster, p->neighbour))
-    relay->also_lost = mt_loop_now ();
+  if (args != NULL && args->n == 0 && mt_cluster_can_confirm_outage (relay->cluster, p->peer))
+    relay->outage_confirmed_at = mt_loop_now ();
   else if (status != 0 && status != 503)
-    relay->helped = mt_loop_now ();
+    relay->reached_at = mt_loop_now ();
   if (status == 0 || status == 503)
     {
-      set_useless (relay, p->neighbour);
-      if (g_strcmp0 (relay->neighbour, p->neighbour) == 0)
-        g_clear_pointer (&relay->neighbour, g_free);
+      avoid (relay, p->peer);
+      if (g_strcmp0 (relay->peer, p->peer) == 0)
+        g_clear_pointer (&relay->peer, g_free);
     }
-  else if (g_strcmp0 (relay->neighbour, p->neighbour) != 0)
+  else if (g_strcmp0 (relay->peer, p->peer) != 0)
     {
-      g_free (relay->neighbour);
-      relay->neighbour = g_strdup (p->neighbour);
+      g_free (relay->peer);
+      relay->peer = g_strdup (p->peer);
     }
   p->done (p->data, (int) status, body);
-  g_free (p->neighbour);
+  g_free (p->peer);
   g_free (p);
 }
 
 static bool
-pass_on (void *ctx,
-         const char *method,
-         const char *path,
-         struct mt_str body,
-         int64_t timeout_ms,
-         mt_adapter_raw_done done,
-         void *data)
+relay_call (void *ctx,
+            const char *method,
+            const char *path,
+            struct mt_str body,
+            int64_t timeout_ms,
+            mt_adapter_raw_done done,
+            void *data)
 {
   struct mt_relay *relay = ctx;
-  char *neighbour = choose (relay);
-  struct passed *p;
+  char *peer = choose_peer (relay);
+  struct relayed_call *p;
   g_autofree char *limit = g_strdup_printf ("%" G_GINT64_FORMAT, timeout_ms);
   struct mt_mesh_args args
       = { 4, { mt_str_from (method), mt_str_from (path), body, mt_str_from (limit) } };
 
-  if (neighbour == NULL)
+  if (peer == NULL)
     return false;
-  p = g_new0 (struct passed, 1);
-  *p = (struct passed){ relay, neighbour, done, data };
-  mt_mesh_send (relay->mesh, neighbour, MT_MESH_STORE, &args, timeout_ms + SLACK_MS, on_passed, p);
+  p = g_new0 (struct relayed_call, 1);
+  *p = (struct relayed_call){ relay, peer, done, data };
+  mt_mesh_send (relay->mesh, peer, MT_MESH_STORE, &args, timeout_ms + FRAME_MARGIN_MS, on_relayed,
+                p);
   return true;
 }
 
@@ -127,8 +130,9 @@
 {
   int64_t now = mt_loop_now ();
 
-  return !mt_adapter_reaches_store (relay->platform) && now - relay->also_lost < EVIDENCE_MS
-         && now - relay->helped > EVIDENCE_MS;
+  return !mt_adapter_reaches_store (relay->platform)
+         && now - relay->outage_confirmed_at < EVIDENCE_TTL_MS
+         && now - relay->reached_at > EVIDENCE_TTL_MS;
 }
 
 static void
@@ -169,8 +173,8 @@
   relay->platform = platform;
   relay->mesh = mesh;
   relay->cluster = cluster;
-  relay->useless = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  mt_adapter_set_relay (platform, pass_on, relay);
+  relay->avoid_until = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  mt_adapter_set_relay (platform, relay_call, relay);
   return relay;
 }
 
@@ -179,7 +183,7 @@
 {
   if (relay == NULL)
     return;
-  g_hash_table_unref (relay->useless);
-  g_free (relay->neighbour);
+  g_hash_table_unref (relay->avoid_until);
+  g_free (relay->peer);
   g_free (relay);
 }
--- a/fleet/relay.h
+++ b/fleet/relay.h
@@ -1,5 +1,5 @@
-/* Store calls for a daemon that the store turns away, by a neighbour that reaches it. On the loop's
- * one thread. */
+/* Relays store calls through another daemon when the store does not serve this one. Not
+ * thread-safe: runs on the loop's thread. */
 #ifndef MT_FLEET_RELAY_H
 #define MT_FLEET_RELAY_H
 
@@ -9,15 +9,16 @@
 
 struct mt_relay;
 
-/* Sets itself as the platform's relay. */
+/* Creates a relay and registers it with the platform. */
 struct mt_relay *
 mt_relay_create (struct mt_adapter *platform, struct mt_mesh *mesh, struct mt_cluster *cluster);
 void mt_relay_destroy (struct mt_relay *relay);
-/* The store turns away this daemon and one in another data centre, and no neighbour has reached it
- * of late: an outage. In a data centre that is cut off all say that they don't reach it, while a
- * leader elsewhere takes over. */
+/* Whether there is a store outage: neither this daemon nor one in another data centre reaches the
+ * store, and no relayed call reached it recently. Evidence from this data centre alone does not
+ * count: in a network partition all daemons in it fail to reach the store while a leader elsewhere
+ * takes over. */
 bool mt_relay_sees_outage (const struct mt_relay *relay);
-/* A neighbour's call. */
+/* Answers a store call that another daemon relays through this one. */
 void
 mt_relay_serve (struct mt_relay *relay, struct mt_mesh_call *call, const struct mt_mesh_args *args);
 
--- a/fleet/roster.c
+++ b/fleet/roster.c
@@ -4,14 +4,14 @@
 
 #include <string.h>
 
-/* Workers that leave must get no new work within two seconds: a silent watch is noticed after this.
- */
-#define WATCH_MS 1200
-/* Workers write every second and a half, and each write is an event: gathered for so long, 50
- * workers cost 5 calls a second in place of 33. */
-#define PAUSE_MS 200
-
-struct listed
+/* Longest wait of the watch: a silent one is noticed after it. Workers that leave must get no new
+ * work within two seconds. */
+#define WATCH_WAIT_MS 1200
+/* Pause between watches that brought changes. Workers write every 1.5 s and each write is an event:
+ * with the pause 50 workers cost 5 calls a second instead of 33. */
+#define WATCH_PAUSE_MS 200
+
+struct listed_worker
 {
   char *pool;
   char *text;
@@ -22,13 +22,13 @@
 {
   struct mt_roster_options options;
   struct mt_watcher *watcher;
-  GHashTable *listed; /* key to struct listed */
+  GHashTable *listed; /* key -> struct listed_worker */
 };
 
 static void
-free_listed (void *data)
+free_listed_worker (void *data)
 {
-  struct listed *l = data;
+  struct listed_worker *l = data;
 
   g_free (l->pool);
   g_free (l->text);
@@ -44,9 +44,9 @@
 }
 
 static void
-drop (struct mt_roster *r, const char *key)
+remove_worker (struct mt_roster *r, const char *key)
 {
-  const struct listed *l = g_hash_table_lookup (r->listed, key);
+  const struct listed_worker *l = g_hash_table_lookup (r->listed, key);
 
   if (l == NULL)
     return;
@@ -55,11 +55,11 @@
 }
 
 static void
-tell (struct mt_roster *r, const char *key, const struct listed *l)
+replay_worker (struct mt_roster *r, const char *key, const struct listed_worker *l)
 {
   struct mt_registry_entry entry;
 
-  if (!r->options.words->ops->parse_worker (key, (struct mt_str){ l->text, l->len }, &entry))
+  if (!r->options.codec->ops->parse_worker (key, (struct mt_str){ l->text, l->len }, &entry))
     return;
   r->options.seen (r->options.ctx, &entry);
   mt_registry_entry_clear (&entry);
@@ -70,17 +70,17 @@
 {
   struct mt_roster *r = ctx;
   struct mt_registry_entry entry;
-  struct listed *l;
+  struct listed_worker *l;
 
-  if (item->deleted || !r->options.words->ops->parse_worker (item->key, item->value, &entry))
+  if (item->deleted || !r->options.codec->ops->parse_worker (item->key, item->value, &entry))
     {
-      drop (r, item->key);
+      remove_worker (r, item->key);
       return;
     }
   l = g_hash_table_lookup (r->listed, item->key);
   if (l != NULL && strcmp (l->pool, entry.pool) != 0)
-    drop (r, item->key);
-  l = g_new0 (struct listed, 1);
+    remove_worker (r, item->key);
+  l = g_new0 (struct listed_worker, 1);
   l->pool = g_strdup (entry.pool);
   l->text = g_memdup2 (item->value.data, item->value.len);
   l->len = item->value.len;
@@ -94,26 +94,26 @@
 {
   GHashTableIter it;
   const char *key;
-  struct listed *l;
+  struct listed_worker *l;
 
   g_hash_table_iter_init (&it, r->listed);
   while (g_hash_table_iter_next (&it, (void **) &key, (void **) &l))
     if (strcmp (l->pool, pool) == 0)
-      tell (r, key, l);
+      replay_worker (r, key, l);
 }
 
 struct mt_roster *
 mt_roster_create (struct event_base *base, const struct mt_roster_options *options)
 {
   struct mt_roster *r = g_new0 (struct mt_roster, 1);
-  struct mt_watcher_options watch = { .prefix = options->words->workers_prefix,
-                                      .wait_ms = WATCH_MS,
-                                      .pause_ms = PAUSE_MS,
+  struct mt_watcher_options watch = { .prefix = options->codec->workers_prefix,
+                                      .wait_ms = WATCH_WAIT_MS,
+                                      .pause_ms = WATCH_PAUSE_MS,
                                       .on_item = on_item,
                                       .ctx = r };
 
   r->options = *options;
-  r->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_listed);
+  r->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_listed_worker);
   r->watcher = mt_watcher_create (base, options->kv, &watch);
   return r;
 }
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -1,5 +1,5 @@
-/* The workers that the platform lists, kept by a watch while this daemon leads anything. On the
- * loop's one thread. */
+/* The workers in the platform's registry, kept up to date by a watch while this daemon leads
+ * anything. Not thread-safe: runs on the loop's thread. */
 #ifndef MT_FLEET_ROSTER_H
 #define MT_FLEET_ROSTER_H
 
@@ -11,7 +11,7 @@
 struct mt_roster_options
 {
   struct mt_kv kv;
-  const struct mt_codec *words;
+  const struct mt_codec *codec;
   void (*seen) (void *ctx, const struct mt_registry_entry *entry);
   void (*gone) (void *ctx, const char *pool, const char *id);
   void *ctx;
@@ -20,7 +20,8 @@
 struct mt_roster *mt_roster_create (struct event_base *base,
                                     const struct mt_roster_options *options);
 void mt_roster_destroy (struct mt_roster *registry);
-/* Tells of every worker of the pool again, for one that has just begun to lead it. */
+/* Calls seen for every worker of the pool again, for a pool that this daemon has just begun to
+ * lead. */
 void mt_roster_replay (struct mt_roster *registry, const char *pool);
 
 #endif
--- a/fleet/watcher.c
+++ b/fleet/watcher.c
@@ -4,9 +4,10 @@
 
 #include <string.h>
 
-/* After a failed call; with a random part, so that many daemons don't come back together. */
-#define AGAIN_MS      120
-#define AGAIN_MOST_MS 320
+/* Delay after a failed call, doubled up to the maximum; with a random part, so that daemons do not
+ * all retry together. */
+#define MIN_RETRY_MS 120
+#define MAX_RETRY_MS 320
 
 struct mt_watcher
 {
@@ -14,41 +15,41 @@
   struct mt_watcher_options options;
   char *prefix;
   struct mt_timer *timer;
-  GHashTable *known; /* key to generation of the list that had it */
+  GHashTable *known; /* key -> generation of the list that last had it */
   unsigned generation;
-  bool listed; /* watches go on from `after` */
-  int64_t after;
-  int64_t list_revision; /* of a list's first page: pages are no snapshot */
-  char *page;
+  bool listed; /* the list is complete; watches continue from after_revision */
+  int64_t after_revision;
+  int64_t list_revision; /* of the list's first page: pages are not one snapshot */
+  char *page_after;
   int64_t failures;
-  int64_t heard;
+  int64_t last_answer_at;
   bool in_flight;
   bool destroyed;
 };
 
-static void step (void *ctx);
+static void start_call (void *ctx);
 
 static void
 free_watcher (struct mt_watcher *w)
 {
   mt_timer_destroy (w->timer);
   g_hash_table_unref (w->known);
-  g_free (w->page);
+  g_free (w->page_after);
   g_free (w->prefix);
   g_free (w);
 }
 
 static void
-again (struct mt_watcher *w)
+schedule_retry (struct mt_watcher *w)
 {
-  int64_t pause = MIN (AGAIN_MS << MIN (w->failures, 3), AGAIN_MOST_MS);
+  int64_t pause = MIN (MIN_RETRY_MS << MIN (w->failures, 3), MAX_RETRY_MS);
 
   w->failures++;
   mt_timer_set (w->timer, pause / 2 + g_random_int_range (0, (gint32) pause));
 }
 
 static void
-take_item (struct mt_watcher *w, const struct mt_kv_item *item)
+deliver_item (struct mt_watcher *w, const struct mt_kv_item *item)
 {
   if (item->deleted)
     g_hash_table_remove (w->known, item->key);
@@ -58,7 +59,7 @@
 }
 
 static gboolean
-tell_gone (gpointer key, gpointer value, gpointer ctx)
+deliver_deletion (gpointer key, gpointer value, gpointer ctx)
 {
   struct mt_watcher *w = ctx;
   struct mt_kv_item item = { .key = key, .deleted = true };
@@ -70,17 +71,17 @@
 }
 
 static void
-end_list (struct mt_watcher *w)
+finish_list (struct mt_watcher *w)
 {
-  g_hash_table_foreach_remove (w->known, tell_gone, w);
+  g_hash_table_foreach_remove (w->known, deliver_deletion, w);
   w->listed = true;
-  w->after = w->list_revision;
+  w->after_revision = w->list_revision;
   if (w->options.on_listed != NULL)
     w->options.on_listed (w->options.ctx);
 }
 
 static bool
-ended_meanwhile (struct mt_watcher *w)
+free_if_destroyed (struct mt_watcher *w)
 {
   w->in_flight = false;
   if (!w->destroyed)
@@ -89,13 +90,13 @@
   return true;
 }
 
-/* While callbacks run the watcher must not be freed under them. */
+/* Keeps in_flight set, so that a callback that destroys the watcher does not free it. */
 static void
-take_items (struct mt_watcher *w, const struct mt_kv_reply *reply)
+deliver_items (struct mt_watcher *w, const struct mt_kv_reply *reply)
 {
   w->in_flight = true;
   for (size_t i = 0; i < reply->n_items && !w->destroyed; i++)
-    take_item (w, &reply->items[i]);
+    deliver_item (w, &reply->items[i]);
 }
 
 static void
@@ -103,73 +104,73 @@
 {
   struct mt_watcher *w = data;
 
-  if (ended_meanwhile (w))
+  if (free_if_destroyed (w))
     return;
   if (reply->status != MT_KV_OK)
     {
-      again (w);
+      schedule_retry (w);
       return;
     }
   w->failures = 0;
-  w->heard = mt_loop_now ();
-  if (w->page == NULL)
+  w->last_answer_at = mt_loop_now ();
+  if (w->page_after == NULL)
     w->list_revision = reply->revision;
-  take_items (w, reply);
-  g_free (w->page);
-  w->page
+  deliver_items (w, reply);
+  g_free (w->page_after);
+  w->page_after
       = reply->more && reply->n_items > 0 ? g_strdup (reply->items[reply->n_items - 1].key) : NULL;
-  if (w->page == NULL && !w->destroyed)
-    end_list (w);
-  if (!ended_meanwhile (w))
-    step (w);
+  if (w->page_after == NULL && !w->destroyed)
+    finish_list (w);
+  if (!free_if_destroyed (w))
+    start_call (w);
 }
 
 static void
 on_events (void *data, const struct mt_kv_reply *reply)
 {
   struct mt_watcher *w = data;
-  bool brought = reply->n_items > 0;
+  bool had_items = reply->n_items > 0;
 
-  if (ended_meanwhile (w))
+  if (free_if_destroyed (w))
     return;
   if (reply->status == MT_KV_COMPACTED)
     {
       w->listed = false;
-      step (w);
+      start_call (w);
       return;
     }
   if (reply->status != MT_KV_OK)
     {
-      again (w);
+      schedule_retry (w);
       return;
     }
   w->failures = 0;
-  w->heard = mt_loop_now ();
-  if (reply->revision > w->after)
-    w->after = reply->revision;
-  take_items (w, reply);
-  if (ended_meanwhile (w))
+  w->last_answer_at = mt_loop_now ();
+  if (reply->revision > w->after_revision)
+    w->after_revision = reply->revision;
+  deliver_items (w, reply);
+  if (free_if_destroyed (w))
     return;
-  if (brought && w->options.pause_ms > 0)
+  if (had_items && w->options.pause_ms > 0)
     mt_timer_set (w->timer, w->options.pause_ms);
   else
-    step (w);
+    start_call (w);
 }
 
 static void
-step (void *ctx)
+start_call (void *ctx)
 {
   struct mt_watcher *w = ctx;
 
   w->in_flight = true;
   if (w->listed)
     {
-      w->kv.ops->watch (w->kv.ctx, w->prefix, w->after, w->options.wait_ms, on_events, w);
+      w->kv.ops->watch (w->kv.ctx, w->prefix, w->after_revision, w->options.wait_ms, on_events, w);
       return;
     }
-  if (w->page == NULL)
+  if (w->page_after == NULL)
     w->generation++;
-  w->kv.ops->range (w->kv.ctx, w->prefix, w->page, on_page, w);
+  w->kv.ops->range (w->kv.ctx, w->prefix, w->page_after, on_page, w);
 }
 
 struct mt_watcher *
@@ -182,7 +183,7 @@
   w->kv = kv;
   w->options = *options;
   w->prefix = g_strdup (options->prefix);
-  w->timer = mt_timer_create (base, step, w);
+  w->timer = mt_timer_create (base, start_call, w);
   w->known = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   mt_timer_set (w->timer, 0);
   return w;
@@ -202,5 +203,5 @@
 int64_t
 mt_watcher_last_answer (const struct mt_watcher *w)
 {
-  return w->heard;
+  return w->last_answer_at;
 }
