--- a/tests/fleet/test_grants_wire.c
+++ b/tests/fleet/test_grants_wire.c
@@ -11,9 +11,9 @@
 static const struct mt_grant_message sample
     = { .token = 7, .sequence = 41, .all = true, .grants = grants, .n_grants = 2 };
 
-/* Guards against a share of a quota that is read as another's, or as another figure. */
+/* Guards against a quota share that is decoded for another workspace or with another value. */
 static void
-test_message_arrives_as_it_was_packed (void **state)
+test_grant_message_round_trip (void **state)
 {
   struct mt_grant_message read;
   size_t len;
@@ -33,9 +33,9 @@
   mt_grants_clear (&read);
 }
 
-/* Guards against a broken frame that is taken for a message, and against what it leaves behind. */
+/* Guards against a truncated frame that is accepted as a message, and against leaks from one. */
 static void
-test_message_cut_anywhere_is_refused (void **state)
+test_truncated_grant_message_is_refused (void **state)
 {
   size_t len;
   g_autofree char *bytes = mt_grants_pack (&sample, &len);
@@ -50,7 +50,7 @@
 }
 
 static void
-test_accounts_arrive_as_they_were_packed (void **state)
+test_accounts_round_trip (void **state)
 {
   const struct mt_account_view view = { .workspace = "yard",
                                         .used = { 1, 2, 3 },
@@ -84,9 +84,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_message_arrives_as_it_was_packed),
-    cmocka_unit_test (test_message_cut_anywhere_is_refused),
-    cmocka_unit_test (test_accounts_arrive_as_they_were_packed),
+    cmocka_unit_test (test_grant_message_round_trip),
+    cmocka_unit_test (test_truncated_grant_message_is_refused),
+    cmocka_unit_test (test_accounts_round_trip),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/fleet/test_journal.c
+++ b/tests/fleet/test_journal.c
@@ -10,9 +10,9 @@
 
 #include <cmocka.h>
 
-/* Guards against counters that miss the lines which the bound on a log leaves out. */
+/* Guards against event counters that miss lines dropped by the rate limit. */
 static void
-test_events_are_counted_beyond_the_bound_on_lines (void **state)
+test_events_are_counted_beyond_line_limit (void **state)
 {
   int fd = open ("/dev/null", O_WRONLY);
   struct mt_journal *journal = mt_journal_create (fd, "d1");
@@ -31,7 +31,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_events_are_counted_beyond_the_bound_on_lines),
+    cmocka_unit_test (test_events_are_counted_beyond_line_limit),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/fleet/test_pool_keys.c
+++ b/tests/fleet/test_pool_keys.c
@@ -21,7 +21,7 @@
 }
 
 static void
-test_submission_is_read_as_it_was_written (void **state)
+test_submission_round_trip (void **state)
 {
   struct mt_pool_submission written = { .route = (char *) "quotes",
                                         .workspace = (char *) "yard",
@@ -35,15 +35,15 @@
   check_read ("quotes\n1781923329000 \n{\"steps\":\n[]}", "");
 }
 
-/* Guards against jobs lost in a rolling upgrade: an older daemon's values name no workspace. */
+/* Guards against jobs lost in a rolling upgrade: values from an older daemon name no workspace. */
 static void
-test_submission_of_an_older_daemon_is_nobodys (void **state)
+test_submission_of_older_daemon_has_no_owner (void **state)
 {
   check_read ("quotes\n1781923329000\n{\"steps\":\n[]}", "");
 }
 
 static void
-test_what_is_no_submission_is_refused (void **state)
+test_invalid_submission_is_refused (void **state)
 {
   static const char *const texts[] = { "", "quotes", "quotes\n", "quotes\n178" };
 
@@ -58,7 +58,7 @@
 
 /* Guards against one workspace reading or cancelling another's jobs. */
 static void
-test_job_is_seen_by_its_own_workspace_only (void **state)
+test_job_is_visible_to_its_owner_only (void **state)
 {
   assert_true (mt_pool_job_is_visible ("yard", "yard"));
   assert_false (mt_pool_job_is_visible ("yard", "press"));
@@ -70,10 +70,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_submission_is_read_as_it_was_written),
-    cmocka_unit_test (test_submission_of_an_older_daemon_is_nobodys),
-    cmocka_unit_test (test_what_is_no_submission_is_refused),
-    cmocka_unit_test (test_job_is_seen_by_its_own_workspace_only),
+    cmocka_unit_test (test_submission_round_trip),
+    cmocka_unit_test (test_submission_of_older_daemon_has_no_owner),
+    cmocka_unit_test (test_invalid_submission_is_refused),
+    cmocka_unit_test (test_job_is_visible_to_its_owner_only),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/fleet/test_pool_report.c
+++ b/tests/fleet/test_pool_report.c
@@ -8,10 +8,10 @@
 
 #include <cmocka.h>
 
-/* The fleet controller decides from what a leader tells it over the wire: a figure that was lost or
- * came in another's place would send the wrong machine away. */
+/* Guards against fields that are lost or swapped in a report: the fleet controller would then move
+ * the wrong machine. */
 static void
-test_report_arrives_as_it_was_packed (void **state)
+test_report_round_trip (void **state)
 {
   struct world *world = world_create ();
   struct mt_pool_report report;
@@ -43,10 +43,9 @@
   world_destroy (world);
 }
 
-/* A daemon of another version, or a broken frame: the report is refused whole and nothing of it is
- * kept. */
+/* Guards against a truncated report, or one from another version, that is accepted in part. */
 static void
-test_report_cut_anywhere_is_refused (void **state)
+test_truncated_report_is_refused (void **state)
 {
   struct world *world = world_create ();
   struct mt_pool_report report;
@@ -68,8 +67,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_report_arrives_as_it_was_packed),
-    cmocka_unit_test (test_report_cut_anywhere_is_refused),
+    cmocka_unit_test (test_report_round_trip),
+    cmocka_unit_test (test_truncated_report_is_refused),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
