--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -42,7 +42,7 @@
 #define GRACE_MARGIN_MS 500
 /* Duration of worker leases. It must be well above that of a takeover: 1.5 s until a dead leader's
  * lease expires, then under 1 s until its successor has renewed the lease of every worker. */
-#define HOLD_MS 4500
+#define WORKER_LEASE_MS 4500
 
 static const char *const fleet_leadership = "fleet";
 
@@ -128,18 +128,18 @@
 static void
 set_workspaces (const struct mt_fleet_config *config, struct mt_scheduler *sched)
 {
-  struct mt_workspace_limits terms = { 0 };
+  struct mt_workspace_limits limits = { 0 };
 
   for (size_t i = 0; i < config->n_pools; i++)
-    terms.pools += !config->pools[i].standby;
+    limits.pools += !config->pools[i].standby;
   for (unsigned i = 0; config->workspaces != NULL && i < mt_workspaces_count (config->workspaces);
        i++)
     {
       const struct mt_workspace *workspace = mt_workspaces_at (config->workspaces, i);
 
-      terms.quota = workspace->quota;
-      terms.rate = workspace->rate;
-      mt_scheduler_set_workspace (sched, workspace->name, &terms);
+      limits.quota = workspace->quota;
+      limits.rate = workspace->rate;
+      mt_scheduler_set_workspace (sched, workspace->name, &limits);
     }
 }
 
@@ -158,7 +158,7 @@
 {
   const struct mt_fleet_bounds *b = &f->settings->bounds;
 
-  return (struct mt_scheduler_settings){ .lease_ms = MIN (HOLD_MS, b->max_hold_ms),
+  return (struct mt_scheduler_settings){ .lease_ms = MIN (WORKER_LEASE_MS, b->max_hold_ms),
                                          .max_lease_ms = b->max_hold_ms,
                                          .remote_factor = b->remote_factor,
                                          .retention_ms = (int64_t) (1000 * b->status_s),
@@ -180,7 +180,7 @@
 }
 
 static void
-begin_leading (struct mt_fleet *f, int64_t token)
+create_fleet_leader (struct mt_fleet *f, int64_t token)
 {
   const struct mt_fleet_bounds *b = &f->settings->bounds;
   struct mt_fleet_leader_options options = { .leadership = fleet_leadership,
@@ -207,14 +207,14 @@
 on_gained (void *ctx, const char *leadership, int64_t token)
 {
   struct mt_fleet *f = ctx;
-  struct mt_roster_options registry = { .kv = mt_adapter_kv (f->platform),
-                                        .codec = &f->codec,
-                                        .seen = on_worker,
-                                        .gone = on_worker_gone,
-                                        .ctx = f };
+  struct mt_roster_options roster_options = { .kv = mt_adapter_kv (f->platform),
+                                              .codec = &f->codec,
+                                              .on_seen = on_worker,
+                                              .on_gone = on_worker_gone,
+                                              .ctx = f };
   struct mt_pool_options options = { .name = leadership,
                                      .token = token,
-                                     .kv = registry.kv,
+                                     .kv = roster_options.kv,
                                      .workers = mt_adapter_workers (f->platform),
                                      .codec = &f->codec,
                                      .cluster = f->cluster,
@@ -229,14 +229,14 @@
                   leadership, token);
   if (strcmp (leadership, fleet_leadership) == 0)
     {
-      begin_leading (f, token);
+      create_fleet_leader (f, token);
       return;
     }
   pool = mt_pool_create (f->base, &options);
   g_hash_table_insert (f->pools, g_strdup (leadership), pool);
   configure_pool (f, leadership, pool);
   if (f->roster == NULL)
-    f->roster = mt_roster_create (f->base, &registry);
+    f->roster = mt_roster_create (f->base, &roster_options);
   else
     mt_roster_replay (f->roster, leadership);
 }
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -188,10 +188,11 @@
 read_wave (struct mt_fleet_leader *lead, const char *key)
 {
   struct wave *w = g_hash_table_lookup (lead->waves, key);
-  g_autofree char *at = progress_key (w);
+  g_autofree char *stored_key = progress_key (w);
 
   w->call_in_flight = true;
-  mt_kv_read (&lead->options.kv, at, TXN_TIMEOUT_MS, on_progress, new_named_call (lead, key));
+  mt_kv_read (&lead->options.kv, stored_key, TXN_TIMEOUT_MS, on_progress,
+              new_named_call (lead, key));
 }
 
 static void
@@ -263,8 +264,8 @@
   bool completed = mt_controller_wave_done (lead->controller, w->number);
   g_auto (GStrv) done = mt_controller_wave_progress (lead->controller, w->number);
   guint n = g_strv_length (done);
-  g_autofree char *at = NULL;
-  g_autofree char *status_at = NULL;
+  g_autofree char *stored_key = NULL;
+  g_autofree char *status_key = NULL;
   g_autofree char *status = NULL;
   char *progress;
   struct mt_kv_expect expect = { lead->leader_key, lead->options.token };
@@ -273,13 +274,13 @@
 
   if (n == w->stored && w->active_written && completed == w->completed_written)
     return;
-  at = progress_key (w);
-  status_at
+  stored_key = progress_key (w);
+  status_key
       = g_strdup_printf ("%s%" G_GINT64_FORMAT, lead->options.codec->wave_status_prefix, w->number);
   status = lead->options.codec->ops->format_wave_status (completed);
   progress = format_progress (w, done);
-  puts[0] = (struct mt_kv_put){ at, mt_str_from (progress), 0 };
-  puts[1] = (struct mt_kv_put){ status_at, mt_str_from (status), 0 };
+  puts[0] = (struct mt_kv_put){ stored_key, mt_str_from (progress), 0 };
+  puts[1] = (struct mt_kv_put){ status_key, mt_str_from (status), 0 };
   if (completed && !w->completed_written)
     mt_journal_log (lead->options.journal, "WAVE_ENDED",
                     "wave=%" G_GINT64_FORMAT " machines=%u took_ms=%" G_GINT64_FORMAT, w->number, n,
@@ -485,7 +486,7 @@
 {
   struct mt_fleet_leader *leader;
   char *machine;
-  char *what;
+  char *order_name;
 };
 
 static void
@@ -493,7 +494,7 @@
 {
   static const struct
   {
-    enum mt_controller_order_result means;
+    enum mt_controller_order_result result;
     const char *text;
   } answers[] = {
     [MT_MACHINE_DONE] = { MT_CONTROLLER_ORDER_DONE, "done" },
@@ -509,8 +510,8 @@
     {
       if (answer != MT_MACHINE_DONE)
         mt_journal_log (lead->options.journal, "MACHINE_REFUSED", "machine=%s order=%s why=%s",
-                        call->machine, call->what, answers[answer].text);
-      mt_controller_handle_result (lead->controller, call->machine, answers[answer].means,
+                        call->machine, call->order_name, answers[answer].text);
+      mt_controller_handle_result (lead->controller, call->machine, answers[answer].result,
                                    mt_loop_now ());
       if (answer == MT_MACHINE_FENCED)
         mt_cluster_drop_leadership (lead->options.cluster, lead->options.leadership,
@@ -518,7 +519,7 @@
     }
   unref (lead);
   g_free (call->machine);
-  g_free (call->what);
+  g_free (call->order_name);
   g_free (call);
 }
 
@@ -531,7 +532,7 @@
 
   call->leader = ref (lead);
   call->machine = g_strdup (order->machine);
-  call->what = g_strdup (maintenance ? "upkeep" : order->to);
+  call->order_name = g_strdup (maintenance ? "upkeep" : order->to);
   mt_journal_log (lead->options.journal, maintenance ? "UPKEEP_ORDERED" : "MACHINE_MOVED",
                   "machine=%s worker=%s pool=%s to=%s wave=%" G_GINT64_FORMAT, order->machine,
                   order->worker != NULL ? order->worker : "-", order->pool,
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -135,16 +135,17 @@
 static void
 resolve_existing (struct submit *s, const struct mt_kv_item *item)
 {
-  struct mt_pool_submission mine;
-  struct mt_pool_submission theirs;
+  struct mt_pool_submission submitted;
+  struct mt_pool_submission stored;
   bool same;
 
-  mt_pool_submission_unpack ((struct mt_str){ s->value, s->value_len }, &mine);
-  same = mt_pool_submission_unpack (item->value, &theirs) && mt_str_equal (theirs.body, mine.body)
-         && strcmp (theirs.route, mine.route) == 0
-         && strcmp (theirs.workspace, mine.workspace) == 0;
-  mt_pool_submission_clear (&theirs);
-  mt_pool_submission_clear (&mine);
+  mt_pool_submission_unpack ((struct mt_str){ s->value, s->value_len }, &submitted);
+  same = mt_pool_submission_unpack (item->value, &stored)
+         && mt_str_equal (stored.body, submitted.body)
+         && strcmp (stored.route, submitted.route) == 0
+         && strcmp (stored.workspace, submitted.workspace) == 0;
+  mt_pool_submission_clear (&stored);
+  mt_pool_submission_clear (&submitted);
   if (same)
     accept_submit (s, "already stored");
   else
--- a/fleet/grants_wire.c
+++ b/fleet/grants_wire.c
@@ -19,11 +19,11 @@
 }
 
 static void
-pack_resources (msgpack_packer *packer, const struct mt_resources *room)
+pack_resources (msgpack_packer *packer, const struct mt_resources *resources)
 {
   msgpack_pack_array (packer, MT_RESOURCE_KINDS);
   for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
-    msgpack_pack_int64 (packer, MAX (mt_resources_get (room, i), 0));
+    msgpack_pack_int64 (packer, MAX (mt_resources_get (resources, i), 0));
 }
 
 static bool
--- a/fleet/neighbours.c
+++ b/fleet/neighbours.c
@@ -47,7 +47,7 @@
 {
   g_autofree char *route = g_strndup (args->at[1].data, args->at[1].len);
   unsigned long long chain_ms = 0;
-  struct mt_wait_estimate outlook;
+  struct mt_wait_estimate estimate;
   char text[24];
 
   if (!mt_pool_is_loaded (pool) || !mt_cluster_lease_is_valid (n->cluster)
@@ -56,9 +56,9 @@
       mt_mesh_reply (call, NULL);
       return;
     }
-  outlook = mt_scheduler_estimate_wait (mt_pool_scheduler (pool), route, (int64_t) chain_ms,
-                                        mt_loop_now ());
-  g_snprintf (text, sizeof text, "%" G_GINT64_FORMAT, outlook.retry_after_ms);
+  estimate = mt_scheduler_estimate_wait (mt_pool_scheduler (pool), route, (int64_t) chain_ms,
+                                         mt_loop_now ());
+  g_snprintf (text, sizeof text, "%" G_GINT64_FORMAT, estimate.retry_after_ms);
   reply_text (call, text);
 }
 
--- a/fleet/roster.c
+++ b/fleet/roster.c
@@ -50,7 +50,7 @@
 
   if (l == NULL)
     return;
-  r->options.gone (r->options.ctx, l->pool, id_of (key));
+  r->options.on_gone (r->options.ctx, l->pool, id_of (key));
   g_hash_table_remove (r->listed, key);
 }
 
@@ -61,7 +61,7 @@
 
   if (!r->options.codec->ops->parse_worker (key, (struct mt_str){ l->text, l->len }, &entry))
     return;
-  r->options.seen (r->options.ctx, &entry);
+  r->options.on_seen (r->options.ctx, &entry);
   mt_registry_entry_clear (&entry);
 }
 
@@ -85,7 +85,7 @@
   l->text = g_memdup2 (item->value.data, item->value.len);
   l->len = item->value.len;
   g_hash_table_replace (r->listed, g_strdup (item->key), l);
-  r->options.seen (r->options.ctx, &entry);
+  r->options.on_seen (r->options.ctx, &entry);
   mt_registry_entry_clear (&entry);
 }
 
--- a/fleet/roster.h
+++ b/fleet/roster.h
@@ -12,16 +12,16 @@
 {
   struct mt_kv kv;
   const struct mt_codec *codec;
-  void (*seen) (void *ctx, const struct mt_registry_entry *entry);
-  void (*gone) (void *ctx, const char *pool, const char *id);
+  void (*on_seen) (void *ctx, const struct mt_registry_entry *entry);
+  void (*on_gone) (void *ctx, const char *pool, const char *id);
   void *ctx;
 };
 
 struct mt_roster *mt_roster_create (struct event_base *base,
                                     const struct mt_roster_options *options);
-void mt_roster_destroy (struct mt_roster *registry);
-/* Calls seen for every worker of the pool again, for a pool that this daemon has just begun to
+void mt_roster_destroy (struct mt_roster *roster);
+/* Calls on_seen for every worker of the pool again, for a pool that this daemon has just begun to
  * lead. */
-void mt_roster_replay (struct mt_roster *registry, const char *pool);
+void mt_roster_replay (struct mt_roster *roster, const char *pool);
 
 #endif
