--- a/core/controller/controller.c
+++ b/core/controller/controller.c
@@ -2,22 +2,23 @@
 
 #include <string.h>
 
-/* Plans are made this often; an order follows from what the schedulers told in between. */
-#define PLAN_MS 50
-/* An order that could not be carried out is given again after this. */
-#define AGAIN_MS 400
-/* A plan whose worker does not empty within so many times what is expected is dropped; another
+/* Interval of planning. Orders in between follow the last plan and the latest reports. */
+#define PLAN_INTERVAL_MS 50
+/* Delay before an order that could not be carried out is retried. */
+#define ORDER_RETRY_MS 400
+/* A plan is dropped if draining takes longer than the expected time multiplied by this; another
  * machine is taken. */
-#define PATIENCE_FACTOR 3
-/* A scheduler's view older than this proves nothing about a worker being empty. */
-#define FRESH_MS 700
-/* Schedulers are told for so long that a worker's life has ended; its entry may stay listed. */
-#define TELL_ENDED_MS 10000
+#define DRAIN_TIMEOUT_FACTOR 3
+/* A scheduler's view that is older than this does not prove that a worker is empty. */
+#define MAX_VIEW_AGE_MS 700
+/* How long schedulers are notified that a worker's incarnation has ended: its entry may stay
+ * listed. */
+#define REPORT_ENDED_MS 10000
 
 static void
 free_pool (void *data)
 {
-  struct mt_controller_update_pool *p = data;
+  struct mt_controller_pool *p = data;
 
   g_free (p->name);
   g_free (p);
@@ -38,9 +39,9 @@
 static void
 free_wave (void *data)
 {
-  struct mt_controller_update_wave *w = data;
+  struct mt_controller_wave *w = data;
 
-  g_hash_table_unref (w->left);
+  g_hash_table_unref (w->remaining);
   g_hash_table_unref (w->done);
   g_free (w);
 }
@@ -70,14 +71,14 @@
   g_free (ctl);
 }
 
-static struct mt_controller_update_pool *
+static struct mt_controller_pool *
 get_pool (struct mt_controller *ctl, const char *name)
 {
-  struct mt_controller_update_pool *p = g_hash_table_lookup (ctl->pools, name);
+  struct mt_controller_pool *p = g_hash_table_lookup (ctl->pools, name);
 
   if (p != NULL)
     return p;
-  p = g_new0 (struct mt_controller_update_pool, 1);
+  p = g_new0 (struct mt_controller_pool, 1);
   p->name = g_strdup (name);
   g_hash_table_insert (ctl->pools, p->name, p);
   return p;
@@ -108,13 +109,13 @@
 drop_plan (struct mt_controller_machine *m)
 {
   m->plan = MT_PLAN_NONE;
-  m->cordoned = 0;
-  m->to = NULL;
+  m->cordoned_at = 0;
+  m->destination = NULL;
   m->wave = NULL;
-  m->sent = false;
+  m->order_pending = false;
 }
 
-/* Takes the name over; NULL for none. */
+/* Takes ownership of worker; NULL for none. */
 static void
 set_worker (struct mt_controller *ctl, struct mt_controller_machine *m, char *worker)
 {
@@ -122,52 +123,53 @@
     g_hash_table_remove (ctl->by_worker, m->worker);
   g_free (m->worker);
   m->worker = worker;
-  m->viewed = false;
+  m->has_view = false;
   if (worker != NULL)
     g_hash_table_insert (ctl->by_worker, worker, m);
 }
 
-/* An order that was done already, by a lost call or a predecessor, is answered like one that was
- * done now: the worker is then another life, and runs on. Only the list tells; its tasks must not
- * be started elsewhere on the answer alone. */
+/* Confirms by the list of machines that an order ended the worker. An order that had been carried
+ * out already, through a call whose answer was lost or by an earlier controller, gets the same
+ * answer as one carried out now; the worker is then a later incarnation and keeps running. So its
+ * tasks must not be started elsewhere on the answer alone. */
 static void
-settle_ended (struct mt_controller_machine *m,
-              const struct mt_controller_machine_info *row,
-              int64_t now)
+confirm_ended (struct mt_controller_machine *m,
+               const struct mt_controller_machine_info *row,
+               int64_t now)
 {
-  if (m->ended_worker == NULL || m->ended_at != 0)
+  if (m->ended_worker == NULL || m->end_confirmed_at != 0)
     return;
   if (row->up && g_strcmp0 (row->worker, m->ended_worker) == 0)
     g_clear_pointer (&m->ended_worker, g_free);
   else
-    m->ended_at = now;
+    m->end_confirmed_at = now;
 }
 
 static void
-take_machine (struct mt_controller *ctl,
-              const struct mt_controller_machine_info *row,
-              int64_t asked,
-              int64_t now)
+update_machine (struct mt_controller *ctl,
+                const struct mt_controller_machine_info *row,
+                int64_t requested_at,
+                int64_t now)
 {
   struct mt_controller_machine *m = get_machine (ctl, row->id);
 
   m->listed = true;
   if (m->rack == NULL)
     m->rack = g_strdup (row->rack);
-  /* The list was asked for before an order on it was carried out. */
-  if (asked <= m->ordered || m->sent)
+  /* The list was requested before an order on this machine was carried out. */
+  if (requested_at <= m->ordered_at || m->order_pending)
     return;
-  settle_ended (m, row, now);
+  confirm_ended (m, row, now);
   m->pool = get_pool (ctl, row->pool);
   if (m->home == NULL)
     m->home = m->pool;
   m->up = row->up;
-  m->room = row->resources;
-  m->in_upkeep = row->in_maintenance;
+  m->resources = row->resources;
+  m->in_maintenance = row->in_maintenance;
   if (g_strcmp0 (m->worker, row->worker) == 0)
     return;
   set_worker (ctl, m, g_strdup (row->worker));
-  m->cordoned = 0;
+  m->cordoned_at = 0;
 }
 
 static gboolean
@@ -175,28 +177,28 @@
 {
   struct mt_controller_machine *m = value;
 
-  if (m->listed || m->sent)
+  if (m->listed || m->order_pending)
     return FALSE;
   set_worker (ctx, m, NULL);
   return TRUE;
 }
 
 static void
-forget_in_waves (struct mt_controller *ctl, const char *id)
+remove_from_waves (struct mt_controller *ctl, const char *id)
 {
   GHashTableIter it;
-  struct mt_controller_update_wave *w;
+  struct mt_controller_wave *w;
 
   g_hash_table_iter_init (&it, ctl->waves);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
-    g_hash_table_remove (w->left, id);
+    g_hash_table_remove (w->remaining, id);
 }
 
 void
 mt_controller_update_machines (struct mt_controller *ctl,
                                const struct mt_controller_machine_info *machines,
                                size_t n,
-                               int64_t asked,
+                               int64_t requested_at,
                                int64_t now)
 {
   GHashTableIter it;
@@ -206,38 +208,38 @@
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     m->listed = false;
   for (size_t i = 0; i < n; i++)
-    take_machine (ctl, &machines[i], asked, now);
+    update_machine (ctl, &machines[i], requested_at, now);
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     if (!m->listed)
-      forget_in_waves (ctl, m->id);
+      remove_from_waves (ctl, m->id);
   g_hash_table_foreach_remove (ctl->machines, drop_unlisted, ctl);
   if (!ctl->listed)
-    ctl->first_listed = now;
+    ctl->first_listed_at = now;
   ctl->listed = true;
 }
 
 /* ---- pools ---- */
 
 bool
-mt_controller_pool_is_short (const struct mt_controller_update_pool *p)
+mt_controller_pool_is_short (const struct mt_controller_pool *p)
 {
   return p->load.urgent > 0;
 }
 
 static void
-take_view (struct mt_controller *ctl, const struct mt_worker_view *view, int64_t now)
+update_view (struct mt_controller *ctl, const struct mt_worker_view *view, int64_t now)
 {
   struct mt_controller_machine *m = g_hash_table_lookup (ctl->by_worker, view->id);
 
   if (m == NULL)
     return;
-  m->viewed = true;
+  m->has_view = true;
   m->view = *view;
   m->view.id = m->worker;
   m->viewed_at = now;
-  if (m->plan != MT_PLAN_NONE && view->cordoned && m->cordoned == 0)
-    m->cordoned = now;
+  if (m->plan != MT_PLAN_NONE && view->cordoned && m->cordoned_at == 0)
+    m->cordoned_at = now;
 }
 
 void
@@ -248,13 +250,13 @@
                            size_t n,
                            int64_t now)
 {
-  struct mt_controller_update_pool *p = get_pool (ctl, name);
+  struct mt_controller_pool *p = get_pool (ctl, name);
 
-  p->seen = true;
-  p->told = now;
+  p->reported = true;
+  p->reported_at = now;
   p->load = *load;
   for (size_t i = 0; i < n; i++)
-    take_view (ctl, &workers[i], now);
+    update_view (ctl, &workers[i], now);
 }
 
 /* ---- waves ---- */
@@ -267,13 +269,13 @@
                            unsigned cap,
                            int64_t due)
 {
-  struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
 
   if (w == NULL)
     {
-      w = g_new0 (struct mt_controller_update_wave, 1);
+      w = g_new0 (struct mt_controller_wave, 1);
       w->number = number;
-      w->left = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      w->remaining = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       w->done = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_hash_table_insert (ctl->waves, &w->number, w);
     }
@@ -281,10 +283,10 @@
   w->due = due;
   for (char **id = machines; id != NULL && *id != NULL; id++)
     if (!g_hash_table_contains (w->done, *id))
-      g_hash_table_add (w->left, g_strdup (*id));
+      g_hash_table_add (w->remaining, g_strdup (*id));
   for (char **id = done; id != NULL && *id != NULL; id++)
     {
-      g_hash_table_remove (w->left, *id);
+      g_hash_table_remove (w->remaining, *id);
       g_hash_table_add (w->done, g_strdup (*id));
     }
 }
@@ -303,10 +305,10 @@
 }
 
 bool
-mt_controller_is_short (const struct mt_controller *ctl)
+mt_controller_any_pool_short (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  const struct mt_controller_update_pool *p;
+  const struct mt_controller_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
@@ -321,7 +323,7 @@
   GHashTableIter it;
   const struct mt_controller_machine *m;
 
-  if (mt_controller_is_short (ctl))
+  if (mt_controller_any_pool_short (ctl))
     return true;
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
@@ -333,15 +335,15 @@
 bool
 mt_controller_wave_done (const struct mt_controller *ctl, int64_t number)
 {
-  const struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  const struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
 
-  return w != NULL && ctl->listed && g_hash_table_size (w->left) == 0;
+  return w != NULL && ctl->listed && g_hash_table_size (w->remaining) == 0;
 }
 
 char **
 mt_controller_wave_progress (const struct mt_controller *ctl, int64_t number)
 {
-  const struct mt_controller_update_wave *w = g_hash_table_lookup (ctl->waves, &number);
+  const struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
   GPtrArray *out = g_ptr_array_new ();
   GHashTableIter it;
   const char *id;
@@ -358,15 +360,15 @@
 
 /* ---- orders ---- */
 
-/* Nothing runs on it and nothing can come: its scheduler has it cordoned, and told so after that.
- * One of a pool that is off runs nothing anyway. */
+/* Whether nothing runs on the machine and nothing can start there: the scheduler has cordoned it
+ * and has reported it empty since. A machine in a standby pool is off and runs nothing. */
 static bool
 is_empty (const struct mt_controller_machine *m, int64_t now)
 {
   if (m->pool->standby)
     return true;
-  return m->worker != NULL && m->cordoned != 0 && m->viewed && m->viewed_at >= m->cordoned
-         && now - m->viewed_at < FRESH_MS && m->view.cordoned && m->view.tasks == 0
+  return m->worker != NULL && m->cordoned_at != 0 && m->has_view && m->viewed_at >= m->cordoned_at
+         && now - m->viewed_at < MAX_VIEW_AGE_MS && m->view.cordoned && m->view.tasks == 0
          && !m->view.silent;
 }
 
@@ -380,7 +382,7 @@
 }
 
 static bool
-is_away (const struct mt_controller_machine *m)
+is_away_from_home (const struct mt_controller_machine *m)
 {
   return m->home != NULL && (m->pool != m->home || m->plan == MT_PLAN_MOVE);
 }
@@ -396,7 +398,7 @@
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     {
-      if (!is_away (m))
+      if (!is_away_from_home (m))
         continue;
       stored &= m->home_stored;
       g_ptr_array_add (out, g_strdup (m->id));
@@ -432,14 +434,14 @@
   GHashTableIter it;
   struct mt_controller_machine *m;
 
-  if (!ctl->listed || now - ctl->last_plan < PLAN_MS)
+  if (!ctl->listed || now - ctl->last_plan_at < PLAN_INTERVAL_MS)
     return;
-  ctl->last_plan = now;
+  ctl->last_plan_at = now;
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
-    if (m->plan != MT_PLAN_NONE && !m->sent
-        && (!m->up || now - m->planned > PATIENCE_FACTOR * mt_controller_drain_ms (m)
-            || (m->wave != NULL && !g_hash_table_contains (m->wave->left, m->id))))
+    if (m->plan != MT_PLAN_NONE && !m->order_pending
+        && (!m->up || now - m->planned_at > DRAIN_TIMEOUT_FACTOR * mt_controller_drain_ms (m)
+            || (m->wave != NULL && !g_hash_table_contains (m->wave->remaining, m->id))))
       drop_plan (m);
   mt_controller_plan_waves (ctl, now);
   if (ctl->settings.allow_moves)
@@ -456,17 +458,17 @@
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     {
-      if (m->plan == MT_PLAN_NONE || m->sent || now < m->again_at || !is_empty (m, now))
+      if (m->plan == MT_PLAN_NONE || m->order_pending || now < m->retry_at || !is_empty (m, now))
         continue;
       if (m->plan == MT_PLAN_MOVE && !m->home_stored)
         continue;
-      m->sent = true;
+      m->order_pending = true;
       *order = (struct mt_controller_order){
-        .kind = m->plan == MT_PLAN_UPKEEP ? MT_CONTROLLER_MAINTENANCE : MT_CONTROLLER_MOVE,
+        .kind = m->plan == MT_PLAN_MAINTENANCE ? MT_CONTROLLER_MAINTENANCE : MT_CONTROLLER_MOVE,
         .machine = m->id,
         .worker = m->worker,
         .pool = m->pool->name,
-        .to = m->to != NULL ? m->to->name : NULL,
+        .to = m->destination != NULL ? m->destination->name : NULL,
         .wave = m->wave != NULL ? m->wave->number : 0,
       };
       return true;
@@ -475,23 +477,23 @@
 }
 
 static void
-carried_out (struct mt_controller *ctl, struct mt_controller_machine *m, int64_t now)
+complete_order (struct mt_controller *ctl, struct mt_controller_machine *m, int64_t now)
 {
-  bool upkeep = m->plan == MT_PLAN_UPKEEP;
+  bool maintenance = m->plan == MT_PLAN_MAINTENANCE;
 
-  if (upkeep)
+  if (maintenance)
     {
-      g_hash_table_remove (m->wave->left, m->id);
+      g_hash_table_remove (m->wave->remaining, m->id);
       g_hash_table_add (m->wave->done, g_strdup (m->id));
     }
   else
-    m->pool = m->to;
-  m->ordered = now;
-  m->in_upkeep = upkeep;
+    m->pool = m->destination;
+  m->ordered_at = now;
+  m->in_maintenance = maintenance;
   m->up = false;
   g_free (m->ended_worker);
   m->ended_worker = g_strdup (m->worker);
-  m->ended_at = 0;
+  m->end_confirmed_at = 0;
   set_worker (ctl, m, NULL);
   drop_plan (m);
 }
@@ -499,30 +501,31 @@
 void
 mt_controller_handle_result (struct mt_controller *ctl,
                              const char *machine,
-                             enum mt_controller_order_result answer,
+                             enum mt_controller_order_result result,
                              int64_t now)
 {
   struct mt_controller_machine *m = g_hash_table_lookup (ctl->machines, machine);
 
-  if (m == NULL || !m->sent)
+  if (m == NULL || !m->order_pending)
     return;
-  m->sent = false;
-  switch (answer)
+  m->order_pending = false;
+  switch (result)
     {
     case MT_CONTROLLER_ORDER_DONE:
-      carried_out (ctl, m, now);
+      complete_order (ctl, m, now);
       return;
     case MT_CONTROLLER_ORDER_REJECTED:
       if (m->wave != NULL)
-        g_hash_table_remove (m->wave->left, m->id);
+        g_hash_table_remove (m->wave->remaining, m->id);
       drop_plan (m);
       return;
     case MT_CONTROLLER_ORDER_UNKNOWN:
-      /* It may have been done: until the next try tells, it counts as away. */
-      m->again_at = now + AGAIN_MS;
+      /* The order may have been carried out: the machine counts as down until the next try shows
+       * it. */
+      m->retry_at = now + ORDER_RETRY_MS;
       return;
     case MT_CONTROLLER_ORDER_RETRY:
-      m->again_at = now + AGAIN_MS;
+      m->retry_at = now + ORDER_RETRY_MS;
       if (m->plan == MT_PLAN_MOVE)
         drop_plan (m);
       return;
@@ -530,23 +533,23 @@
 }
 
 void
-mt_controller_directives_clear (struct mt_controller_directives *notes)
+mt_controller_directives_clear (struct mt_controller_directives *directives)
 {
-  g_strfreev (notes->cordon);
-  g_strfreev (notes->ended_workers);
-  g_strfreev (notes->maintenance_due);
-  *notes = (struct mt_controller_directives){ 0 };
+  g_strfreev (directives->cordon);
+  g_strfreev (directives->ended_workers);
+  g_strfreev (directives->maintenance_due);
+  *directives = (struct mt_controller_directives){ 0 };
 }
 
 static bool
-is_due (const struct mt_controller *ctl, const struct mt_controller_machine *m)
+needs_maintenance (const struct mt_controller *ctl, const struct mt_controller_machine *m)
 {
   GHashTableIter it;
-  const struct mt_controller_update_wave *w;
+  const struct mt_controller_wave *w;
 
   g_hash_table_iter_init (&it, ctl->waves);
   while (g_hash_table_iter_next (&it, NULL, (void **) &w))
-    if (g_hash_table_contains (w->left, m->id))
+    if (g_hash_table_contains (w->remaining, m->id))
       return true;
   return false;
 }
@@ -557,7 +560,7 @@
   GPtrArray *cordon = g_ptr_array_new ();
   GPtrArray *ended = g_ptr_array_new ();
   GPtrArray *due = g_ptr_array_new ();
-  const struct mt_controller_update_pool *p = g_hash_table_lookup (ctl->pools, pool);
+  const struct mt_controller_pool *p = g_hash_table_lookup (ctl->pools, pool);
   GHashTableIter it;
   struct mt_controller_machine *m;
 
@@ -568,11 +571,11 @@
 
       if (here && m->plan != MT_PLAN_NONE)
         g_ptr_array_add (cordon, g_strdup (m->worker));
-      else if (here && is_due (ctl, m))
+      else if (here && needs_maintenance (ctl, m))
         g_ptr_array_add (due, g_strdup (m->worker));
-      if (m->ended_worker != NULL && m->ended_at == 0)
+      if (m->ended_worker != NULL && m->end_confirmed_at == 0)
         g_ptr_array_add (cordon, g_strdup (m->ended_worker));
-      else if (m->ended_worker != NULL && now - m->ended_at < TELL_ENDED_MS)
+      else if (m->ended_worker != NULL && now - m->end_confirmed_at < REPORT_ENDED_MS)
         g_ptr_array_add (ended, g_strdup (m->ended_worker));
     }
   g_ptr_array_add (cordon, NULL);
@@ -581,5 +584,5 @@
   return (struct mt_controller_directives){ (char **) g_ptr_array_free (cordon, FALSE),
                                             (char **) g_ptr_array_free (ended, FALSE),
                                             (char **) g_ptr_array_free (due, FALSE),
-                                            p != NULL ? mt_controller_promised_cpu (p) : 0 };
+                                            p != NULL ? mt_controller_allocated_cpu (p) : 0 };
 }
--- a/core/controller/controller_internal.h
+++ b/core/controller/controller_internal.h
@@ -1,44 +1,44 @@
-/* The fleet controller's structures, shared by its own files only. */
+/* Internal structures of the fleet controller. */
 #ifndef MT_CONTROLLER_INTERNAL_H
 #define MT_CONTROLLER_INTERNAL_H
 
 #include "medlartrack/controller.h"
 
-/* The highest count of the last moments. */
-struct mt_controller_peak
+/* The highest count of machines within a short time window. */
+struct mt_controller_recent_max
 {
   unsigned machines;
   int64_t at;
 };
 
-struct mt_controller_update_pool
+struct mt_controller_pool
 {
   char *name;
   bool standby;
-  bool seen; /* its scheduler has told of itself */
-  int64_t told;
+  bool reported; /* its scheduler has reported */
+  int64_t reported_at;
   struct mt_scheduler_load load;
 
-  unsigned have;       /* machines that work in it or are on their way */
-  unsigned coming;     /* of these, those on their way */
-  unsigned pinned;     /* of these, those that can't go: they have long-running tasks */
-  unsigned wanted;     /* its part of all machines */
-  int64_t short_since; /* it has had less than keeps its jobs in time since; 0 */
-  unsigned claimed;    /* of that, what it may take from other pools */
-  struct mt_controller_peak timely; /* what keeps its jobs in time on average */
-  struct mt_controller_peak hasty;  /* ... and more, since machines come late */
-  unsigned base;                    /* machines that belong to it */
-  unsigned sized;                   /* machines in it whose size is known */
-  int64_t room_cpu;                 /* ... of all these */
-  double peak;                      /* highest need of late, fading */
-  int64_t learned_at;
-  int64_t spare_since; /* it has had more than it wants since; 0 */
+  unsigned n_machines;  /* machines that work in the pool or are on their way to it */
+  unsigned n_arriving;  /* of n_machines, those on their way */
+  unsigned n_pinned;    /* of n_machines, those that can't leave: they have long-running tasks */
+  unsigned n_allocated; /* machines that it should have */
+  int64_t short_since; /* since when it has had fewer machines than mean_need; 0 if it has enough */
+  unsigned n_claimed;  /* of n_allocated, the machines that may be taken from other pools */
+  struct mt_controller_recent_max mean_need;  /* to keep its jobs within objectives on average */
+  struct mt_controller_recent_max burst_need; /* with a margin, since machines arrive late */
+  unsigned n_home;                            /* machines whose home it is */
+  unsigned n_sized;                           /* machines in it whose size is known */
+  int64_t capacity_cpu;                       /* of these n_sized machines */
+  double peak_machines;                       /* highest recent need in machines, decaying */
+  int64_t peak_at;
+  int64_t surplus_since; /* since when it has had more machines than it needs; 0 if it has not */
 };
 
 enum mt_controller_plan
 {
   MT_PLAN_NONE,
-  MT_PLAN_UPKEEP,
+  MT_PLAN_MAINTENANCE,
   MT_PLAN_MOVE,
 };
 
@@ -47,36 +47,36 @@
   char *id;
   char *rack;
   char *worker;
-  struct mt_controller_update_pool *pool;
-  struct mt_controller_update_pool *home; /* where it belongs; NULL until it is known */
+  struct mt_controller_pool *pool;
+  struct mt_controller_pool *home; /* pool that it belongs to; NULL until known */
   bool home_stored;
   bool up;
   bool listed;
-  struct mt_resources room;
+  struct mt_resources resources;
 
-  bool viewed; /* the scheduler sees its worker, as follows */
+  bool has_view; /* the scheduler has reported its worker; see view */
   struct mt_worker_view view;
   int64_t viewed_at;
 
   enum mt_controller_plan plan;
-  int64_t planned;
-  int64_t cordoned; /* since when its scheduler has it cordoned; 0 */
-  struct mt_controller_update_pool *to;
-  struct mt_controller_update_wave *wave;
-  bool sent;
-  int64_t again_at;
-  int64_t ordered;    /* when */
-  char *ended_worker; /* the life that the order has ended, if it was not carried out before */
-  int64_t ended_at;   /* when the list has proved that; 0 until then */
-  bool in_upkeep;
+  int64_t planned_at;
+  int64_t cordoned_at; /* since when its scheduler has had it cordoned; 0 if it has not */
+  struct mt_controller_pool *destination;
+  struct mt_controller_wave *wave;
+  bool order_pending;
+  int64_t retry_at;
+  int64_t ordered_at;       /* when its last order was carried out */
+  char *ended_worker;       /* ended by its last order, unless that had been done before */
+  int64_t end_confirmed_at; /* when the list of machines confirmed that; 0 until then */
+  bool in_maintenance;
 };
 
-struct mt_controller_update_wave
+struct mt_controller_wave
 {
   int64_t number;
   unsigned cap;
   int64_t due;
-  GHashTable *left; /* ids of machines that have not had it */
+  GHashTable *remaining; /* ids of machines whose maintenance has not begun */
   GHashTable *done;
 };
 
@@ -85,36 +85,39 @@
   struct mt_controller_settings settings;
   GHashTable *pools;
   GHashTable *machines;
-  GHashTable *by_worker; /* present life to its machine; borrows both */
-  GHashTable *waves;     /* number to struct mt_controller_update_wave */
-  bool starved;          /* some pool has long lacked what keeps its jobs in time */
+  GHashTable *by_worker; /* worker id to its machine; borrows both */
+  GHashTable *waves;     /* number to struct mt_controller_wave */
+  bool starved;          /* a pool has had less than its mean_need for too long */
   bool listed;
-  int64_t first_listed;
-  int64_t last_plan;
+  int64_t first_listed_at;
+  int64_t last_plan_at;
 };
 
 /* controller_waves.c */
-/* How long it is expected to take until the machine is empty. */
+/* Returns how long it is expected to take to drain the machine. */
 int64_t mt_controller_drain_ms (const struct mt_controller_machine *m);
 void mt_controller_plan_waves (struct mt_controller *ctl, int64_t now);
 /* controller_shares.c */
-/* Reckons what the pool needs from what its scheduler told last. */
-void mt_controller_learn_need (struct mt_controller_update_pool *p, bool starved, int64_t now);
-/* Some pool has lacked for long what keeps its jobs in time. */
-bool mt_controller_find_starved (struct mt_controller *ctl, int64_t now);
-/* Sets what each pool should have of so many machines. */
-void mt_controller_deal (struct mt_controller *ctl, unsigned machines);
-/* Of the machines that it should have, in thousandths of a core. */
-int64_t mt_controller_promised_cpu (const struct mt_controller_update_pool *p);
-/* What it keeps while nobody else wants its machines: all that belongs to it, until its first surge
- * has shown what it needs. */
-unsigned mt_controller_wanted_idle (const struct mt_controller_update_pool *p);
+/* Updates the pool's need from its scheduler's last report. starved: whether any pool is
+ * starved. */
+void mt_controller_update_need (struct mt_controller_pool *p, bool starved, int64_t now);
+/* Returns whether any pool is starved: has long had less than keeps its jobs within their
+ * objectives. */
+bool mt_controller_update_starved (struct mt_controller *ctl, int64_t now);
+/* Distributes the machines: sets how many of them each pool should have. */
+void mt_controller_allocate (struct mt_controller *ctl, unsigned machines);
+/* Returns the capacity of the machines that the pool should have, in thousandths of a core. */
+int64_t mt_controller_allocated_cpu (const struct mt_controller_pool *p);
+/* Returns how many machines the pool keeps while no other pool wants them: all that belong to it,
+ * until its first surge has shown what it needs. */
+unsigned mt_controller_idle_machines (const struct mt_controller_pool *p);
 /* controller_moves.c */
 void mt_controller_plan_moves (struct mt_controller *ctl, int64_t now);
-/* A pool that lacks room for what can still be in time gives no machine away. Work that is late
- * anyway does not count: it would hold machines that others need to be in time. */
-bool mt_controller_pool_is_short (const struct mt_controller_update_pool *pool);
-/* Some pool is. */
-bool mt_controller_is_short (const struct mt_controller *ctl);
+/* Whether the pool lacks machines for work that can still meet its objective; such a pool gives no
+ * machine away. Overdue work does not count: it would hold machines that other pools need for work
+ * that can still be on time. */
+bool mt_controller_pool_is_short (const struct mt_controller_pool *pool);
+/* Whether any pool is short. */
+bool mt_controller_any_pool_short (const struct mt_controller *ctl);
 
 #endif
--- a/core/controller/controller_moves.c
+++ b/core/controller/controller_moves.c
@@ -1,93 +1,94 @@
-/* Which machines change their pool. Each pool in turn surges to more than it holds for some
- * seconds, and is nearly idle in between; a machine's move takes as long as a third of a surge. So
- * the pool that lacks room takes machines at the first sign, from the standby pool and from
- * whatever pool has more than it needs, and what nobody needs goes to the standby pool, where it
- * costs nothing.
+/* Decides which machines change pool. The pools surge in turn, each to more than it holds for some
+ * seconds, and are nearly idle in between; moving a machine takes a third of a surge. So a pool
+ * that is short takes machines at the first sign, from the standby pool and from any pool that has
+ * more than it needs. Machines that no pool needs go to the standby pool, where they cost nothing.
  *
- * A pool in its trough keeps a share of what belongs to it: the next surge begins without notice,
- * and until machines arrive, what it has must carry it. The share is small, since all that idles
- * here is missing where the surge is now. */
+ * A pool in its trough keeps a share of its own machines: the next surge begins without notice, and
+ * they have to carry it until others arrive. The share is small, since each machine that idles here
+ * is missing in the pool that surges now. */
 #include "controller_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* After it begins, a fleet controller gives no machine to the standby pool for so long: not all are
- * up yet, and none of the pools' surges is known. */
-#define SETTLE_MS 5000
-/* Ordered moves are expected to have arrived after this much more than they should take. */
-#define LATE_MS 4000
+/* A new controller moves no machine to the standby pool for this time: not all machines are up yet,
+ * and no pool's surges are known. */
+#define STARTUP_HOLD_MS 5000
+/* An ordered move counts as under way for this much longer than it should take. */
+#define ARRIVAL_GRACE_MS 4000
 
 static bool
-is_on_its_way (const struct mt_controller *ctl, const struct mt_controller_machine *m, int64_t now)
+is_arriving (const struct mt_controller *ctl, const struct mt_controller_machine *m, int64_t now)
 {
-  return !m->up && m->ordered != 0 && now < m->ordered + ctl->settings.move_ms + LATE_MS;
+  return !m->up && m->ordered_at != 0
+         && now < m->ordered_at + ctl->settings.move_ms + ARRIVAL_GRACE_MS;
 }
 
-/* What each pool has, and what was given to it by those who know its load: one look at all
- * machines. */
+/* Counts each pool's machines in one pass, those on their way included. */
 static void
-tally (struct mt_controller *ctl, int64_t now)
+count_machines (struct mt_controller *ctl, int64_t now)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
+  struct mt_controller_pool *p;
   struct mt_controller_machine *m;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
     {
-      p->have = p->base = p->sized = p->coming = p->pinned = 0;
-      p->room_cpu = 0;
+      p->n_machines = p->n_home = p->n_sized = p->n_arriving = p->n_pinned = 0;
+      p->capacity_cpu = 0;
     }
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     {
       if (m->plan == MT_PLAN_MOVE)
         {
-          m->to->have++;
-          m->to->coming++;
+          m->destination->n_machines++;
+          m->destination->n_arriving++;
         }
-      else if (m->pool != NULL && is_on_its_way (ctl, m, now))
+      else if (m->pool != NULL && is_arriving (ctl, m, now))
         {
-          m->pool->have++;
-          m->pool->coming++;
+          m->pool->n_machines++;
+          m->pool->n_arriving++;
         }
-      else if (m->pool != NULL && m->up && m->plan != MT_PLAN_UPKEEP)
+      else if (m->pool != NULL && m->up && m->plan != MT_PLAN_MAINTENANCE)
         {
-          m->pool->have += !(m->viewed && (m->view.silent || m->view.leaving));
-          m->pool->pinned += m->viewed && m->view.long_running > 0;
+          m->pool->n_machines += !(m->has_view && (m->view.silent || m->view.leaving));
+          m->pool->n_pinned += m->has_view && m->view.long_running > 0;
         }
       if (m->home != NULL)
-        m->home->base++;
-      if (m->pool == NULL || m->room.cpu <= 0)
+        m->home->n_home++;
+      if (m->pool == NULL || m->resources.cpu <= 0)
         continue;
-      m->pool->sized++;
-      m->pool->room_cpu += m->room.cpu;
+      m->pool->n_sized++;
+      m->pool->capacity_cpu += m->resources.cpu;
     }
 }
 
 static bool
-may_go (const struct mt_controller_machine *m)
+can_move (const struct mt_controller_machine *m)
 {
-  if (!m->up || m->plan != MT_PLAN_NONE || m->sent)
+  if (!m->up || m->plan != MT_PLAN_NONE || m->order_pending)
     return false;
   if (m->pool->standby)
     return true;
-  return m->viewed && !m->view.silent && !m->view.leaving && m->view.long_running == 0;
+  return m->has_view && !m->view.silent && !m->view.leaving && m->view.long_running == 0;
 }
 
-/* What is expected to be empty first; of equals, what holds least. */
+/* Whether a is expected to be empty before b; if both at the same time, whether it holds fewer
+ * tasks. */
 static bool
-is_emptier (const struct mt_controller_machine *a, const struct mt_controller_machine *b)
+is_empty_sooner (const struct mt_controller_machine *a, const struct mt_controller_machine *b)
 {
   if (a->view.batch_remaining_ms != b->view.batch_remaining_ms)
     return a->view.batch_remaining_ms < b->view.batch_remaining_ms;
   return a->view.tasks < b->view.tasks;
 }
 
-/* The emptiest of the pool that may go; NULL for none. */
+/* Returns the machine of the pool that can be moved and will be empty first; NULL if there is
+ * none. */
 static struct mt_controller_machine *
-emptiest (const struct mt_controller *ctl, const struct mt_controller_update_pool *p)
+find_soonest_empty (const struct mt_controller *ctl, const struct mt_controller_pool *p)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -95,34 +96,34 @@
 
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
-    if (m->pool == p && may_go (m) && (best == NULL || is_emptier (m, best)))
+    if (m->pool == p && can_move (m) && (best == NULL || is_empty_sooner (m, best)))
       best = m;
   return best;
 }
 
 static bool
 plan_move (struct mt_controller *ctl,
-           struct mt_controller_update_pool *from,
-           struct mt_controller_update_pool *to,
+           struct mt_controller_pool *from,
+           struct mt_controller_pool *to,
            int64_t now)
 {
-  struct mt_controller_machine *m = emptiest (ctl, from);
+  struct mt_controller_machine *m = find_soonest_empty (ctl, from);
 
   if (m == NULL)
     return false;
   m->plan = MT_PLAN_MOVE;
-  m->planned = now;
-  m->to = to;
+  m->planned_at = now;
+  m->destination = to;
   m->wave = NULL;
-  from->have--;
-  to->have++;
+  from->n_machines--;
+  to->n_machines++;
   return true;
 }
 
-/* A machine that is being emptied for the standby pool goes to the pool that is short instead:
- * there and back would take two moves' time. */
+/* Sends a machine that is being drained for the standby pool to the pool that is short instead: by
+ * way of the standby pool it would take the time of two moves. */
 static bool
-redirect_move (struct mt_controller *ctl, struct mt_controller_update_pool *to)
+redirect_move (struct mt_controller *ctl, struct mt_controller_pool *to)
 {
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -130,22 +131,22 @@
 
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
-    if (m->plan == MT_PLAN_MOVE && !m->sent && m->to->standby && m->pool != to
-        && (best == NULL || is_emptier (m, best)))
+    if (m->plan == MT_PLAN_MOVE && !m->order_pending && m->destination->standby && m->pool != to
+        && (best == NULL || is_empty_sooner (m, best)))
       best = m;
   if (best == NULL)
     return false;
-  best->to->have--;
-  best->to = to;
-  to->have++;
+  best->destination->n_machines--;
+  best->destination = to;
+  to->n_machines++;
   return true;
 }
 
-static struct mt_controller_update_pool *
+static struct mt_controller_pool *
 find_standby (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
+  struct mt_controller_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
@@ -154,94 +155,95 @@
   return NULL;
 }
 
-/* The pool with the most to spare. */
-static struct mt_controller_update_pool *
-richest (const struct mt_controller *ctl)
+/* Returns the pool with the largest surplus, or NULL. */
+static struct mt_controller_pool *
+find_largest_surplus (const struct mt_controller *ctl)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
-  struct mt_controller_update_pool *best = NULL;
-  int most = 0;
+  struct mt_controller_pool *p;
+  struct mt_controller_pool *best = NULL;
+  int largest = 0;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
     {
-      int spare = (int) p->have - (int) p->claimed;
+      int surplus = (int) p->n_machines - (int) p->n_claimed;
 
-      if (p->standby || spare <= most || emptiest (ctl, p) == NULL)
+      if (p->standby || surplus <= largest || find_soonest_empty (ctl, p) == NULL)
         continue;
-      most = spare;
+      largest = surplus;
       best = p;
     }
   return best;
 }
 
 static void
-fill_pool (struct mt_controller *ctl,
-           struct mt_controller_update_pool *standby,
-           struct mt_controller_update_pool *p,
-           int64_t now)
+add_machines (struct mt_controller *ctl,
+              struct mt_controller_pool *standby,
+              struct mt_controller_pool *p,
+              int64_t now)
 {
-  while (p->have < p->wanted)
+  while (p->n_machines < p->n_allocated)
     {
-      struct mt_controller_update_pool *from;
+      struct mt_controller_pool *from;
 
       if (redirect_move (ctl, p) || (standby != NULL && plan_move (ctl, standby, p, now)))
         continue;
-      /* From one pool's late work to another's a machine would only lose the time of its move. */
-      from = p->have < p->claimed ? richest (ctl) : NULL;
+      /* Moving a machine from one pool's overdue work to another's would only lose the time of the
+       * move. */
+      from = p->n_machines < p->n_claimed ? find_largest_surplus (ctl) : NULL;
       if (from == NULL || from == p || !plan_move (ctl, from, p, now))
         return;
     }
 }
 
 static void
-release_spare (struct mt_controller *ctl,
-               struct mt_controller_update_pool *standby,
-               struct mt_controller_update_pool *p,
-               int64_t now)
+release_surplus (struct mt_controller *ctl,
+                 struct mt_controller_pool *standby,
+                 struct mt_controller_pool *p,
+                 int64_t now)
 {
-  if (p->have <= mt_controller_wanted_idle (p) || mt_controller_pool_is_short (p))
+  if (p->n_machines <= mt_controller_idle_machines (p) || mt_controller_pool_is_short (p))
     {
-      p->spare_since = 0;
+      p->surplus_since = 0;
       return;
     }
-  if (p->spare_since == 0)
-    p->spare_since = now;
-  /* On its way to the standby pool a machine can't be had for a move's time, and the next pool
-   * often surges as this one's surge ends. */
-  if (now - p->spare_since < ctl->settings.move_ms)
+  if (p->surplus_since == 0)
+    p->surplus_since = now;
+  /* A machine that moves to the standby pool is unavailable for the time of the move, and the next
+   * pool often surges as this one's surge ends. */
+  if (now - p->surplus_since < ctl->settings.move_ms)
     return;
-  while (p->have > mt_controller_wanted_idle (p) && plan_move (ctl, p, standby, now))
+  while (p->n_machines > mt_controller_idle_machines (p) && plan_move (ctl, p, standby, now))
     continue;
 }
 
 void
 mt_controller_plan_moves (struct mt_controller *ctl, int64_t now)
 {
-  struct mt_controller_update_pool *standby = find_standby (ctl);
+  struct mt_controller_pool *standby = find_standby (ctl);
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
+  struct mt_controller_pool *p;
   unsigned machines = 0;
 
-  tally (ctl, now);
+  count_machines (ctl, now);
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
     {
-      machines += p->have;
-      if (!p->standby && p->seen)
-        mt_controller_learn_need (p, ctl->starved, now);
+      machines += p->n_machines;
+      if (!p->standby && p->reported)
+        mt_controller_update_need (p, ctl->starved, now);
     }
-  ctl->starved = mt_controller_find_starved (ctl, now);
-  mt_controller_deal (ctl, machines);
+  ctl->starved = mt_controller_update_starved (ctl, now);
+  mt_controller_allocate (ctl, machines);
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
-    if (!p->standby && p->seen && p->wanted > p->have)
-      fill_pool (ctl, standby, p, now);
-  if (standby == NULL || now - ctl->first_listed < SETTLE_MS)
+    if (!p->standby && p->reported && p->n_allocated > p->n_machines)
+      add_machines (ctl, standby, p, now);
+  if (standby == NULL || now - ctl->first_listed_at < STARTUP_HOLD_MS)
     return;
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
-    if (!p->standby && p->seen)
-      release_spare (ctl, standby, p, now);
+    if (!p->standby && p->reported)
+      release_surplus (ctl, standby, p, now);
 }
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -1,192 +1,196 @@
-/* How many machines each pool should have, when all together may ask for more than there are.
+/* Allocates the machines to the pools when these together may ask for more than there are.
  *
- * The load: pools surge by turns, each to more than it holds, and where the fleet is about full a
- * surge begins while the one before it still has work waiting. Whoever asked first would keep all
- * machines, and the next pool's callers would get nothing. So machines are dealt out in tiers.
- * While a pool is starved what is asked for in one is shared in proportion, and the next one gets
- * what is left; else each gets what it asks for as machines come free, since those at work in a
- * surge that ends are free sooner than they could be moved. */
+ * The pools surge in turn, each to more than it holds, and where the fleet is nearly full a surge
+ * begins while the one before it still has work waiting. If the first pool to ask kept all
+ * machines, callers of the next pool would get nothing. So machines are allocated in tiers. While a
+ * pool is starved, the machines of a tier are shared in proportion to what the pools ask for, and
+ * the next tier gets what remains. Otherwise each pool gets what it asks for as machines become
+ * free, since those that work in a surge that is ending are free sooner than they could be
+ * moved. */
 #include "controller_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* Machines arrive late and arrivals come in bunches: so much more than what keeps jobs in time on
- * average. */
-#define HASTE 5.0
-/* While a pool is starved haste goes by what arrives: a surge that is over needs none. */
-#define STARVED_HASTE   2.5
-#define ARRIVING_FACTOR 3.0
-/* A pool that has lacked what keeps its jobs in time for so long is starved: one surge that follows
- * another gets its machines in less. */
+/* Factor over what keeps jobs within their objectives on average, since machines arrive late and
+ * arrivals come in bunches. */
+#define BURST_FACTOR 5.0
+/* While a pool is starved the margin follows arrivals: a surge that is over needs none. */
+#define STARVED_BURST_FACTOR 2.5
+#define ARRIVING_FACTOR      3.0
+/* A pool that has had less than its mean need for this long is starved; a surge that follows
+ * another one gets its machines sooner than that. */
 #define STARVED_MS 1500
-/* Processors in use at most, of those that there are, so that wide tasks still fit. */
-#define FULL_SHARE 0.9
-/* What is known to be busy shortly, and what arrives until then: by so much more on the whole. */
-#define NEXT_STEP 1.4
-/* Of what arrives, this share is expected to go on: short bunches look like surges. */
-#define ARRIVING_SHARE 0.8
-/* A pool keeps this share of the machines that its last surge needed. More stand idle in every pool
- * but the one that surges, just when it lacks them. */
-#define KEEP_SHARE 0.1
-/* ... and this share of the machines that belong to it: a surge begins without notice, and its
- * first machine comes after two seconds. */
-#define BASE_SHARE 0.4
-/* A pool has surged once it has used this share of what belongs to it. */
+/* Highest share of the processors to be in use, so that wide tasks still fit. */
+#define MAX_CPU_SHARE 0.9
+/* Factor from the processors known to be busy shortly to the total, including what arrives until
+ * then. */
+#define UPCOMING_FACTOR 1.4
+/* Share of the arriving work that is expected to last: short bunches look like surges. */
+#define LASTING_SHARE 0.8
+/* Share of the machines needed in its last surge that a pool keeps. More would stand idle in every
+ * pool but the one that surges, just when that one lacks them. */
+#define PEAK_RESERVE_SHARE 0.1
+/* Share of its own machines that a pool keeps: a surge begins without notice, and the first machine
+ * arrives after two seconds. */
+#define HOME_RESERVE_SHARE 0.4
+/* A pool has surged once it has used this share of its own machines. */
 #define SURGED_SHARE 0.6
-/* The memory of a surge halves in this time. */
-#define PEAK_HALF_MS 60000.0
-/* A pool's need counts at its highest of so long: arrivals come in bunches. */
-#define HOLD_MS 800
-/* Of a machine whose size isn't known yet, in thousandths of a core. */
-#define UNSIZED_CPU 16000
-
-/* Of one machine, on average. */
+/* Half-life of the highest need. */
+#define PEAK_HALF_LIFE_MS 60000.0
+/* A pool's need is its highest within this time: arrivals come in bunches. */
+#define NEED_WINDOW_MS 800
+/* Assumed for a machine of unknown size, in thousandths of a core. */
+#define DEFAULT_MACHINE_CPU 16000
+
+/* Returns the mean capacity of the pool's machines, in thousandths of a core. */
 static double
-machine_cpu (const struct mt_controller_update_pool *p)
+machine_cpu (const struct mt_controller_pool *p)
 {
-  return p->sized > 0 ? (double) p->room_cpu / p->sized : UNSIZED_CPU;
+  return p->n_sized > 0 ? (double) p->capacity_cpu / p->n_sized : DEFAULT_MACHINE_CPU;
 }
 
 static unsigned
-machines_for (const struct mt_controller_update_pool *p, double cpu)
+machines_for (const struct mt_controller_pool *p, double cpu)
 {
-  return (unsigned) ceil (cpu / (FULL_SHARE * machine_cpu (p)));
+  return (unsigned) ceil (cpu / (MAX_CPU_SHARE * machine_cpu (p)));
 }
 
-/* Where nothing that can be in time waits, haste would keep machines that stand idle while the pool
- * that surges next goes short. */
+/* Returns the need with a margin, in thousandths of a core. If no work that can still meet its
+ * objective waits, the margin is limited: it would keep idle machines that the pool that surges
+ * next lacks. */
 static double
-hasty_cpu (const struct mt_scheduler_load *load, bool starved)
+burst_cpu (const struct mt_scheduler_load *load, bool starved)
 {
-  double hasty = HASTE * (double) load->demand_cpu;
+  double burst = BURST_FACTOR * (double) load->demand_cpu;
 
   if (starved)
-    hasty = CLAMP (ARRIVING_FACTOR * (double) load->arriving_cpu,
-                   STARVED_HASTE * (double) load->demand_cpu, hasty);
-  return load->urgent == 0 ? MIN (hasty, (double) load->upcoming_cpu * NEXT_STEP) : hasty;
+    burst = CLAMP (ARRIVING_FACTOR * (double) load->arriving_cpu,
+                   STARVED_BURST_FACTOR * (double) load->demand_cpu, burst);
+  return load->urgent == 0 ? MIN (burst, (double) load->upcoming_cpu * UPCOMING_FACTOR) : burst;
 }
 
 static void
-hold (struct mt_controller_peak *peak, unsigned now_needed, int64_t now)
+update_recent_max (struct mt_controller_recent_max *recent, unsigned machines_now, int64_t now)
 {
-  if (now_needed < peak->machines && now - peak->at <= HOLD_MS)
+  if (machines_now < recent->machines && now - recent->at <= NEED_WINDOW_MS)
     return;
-  peak->machines = now_needed;
-  peak->at = now;
+  recent->machines = machines_now;
+  recent->at = now;
 }
 
 void
-mt_controller_learn_need (struct mt_controller_update_pool *p, bool starved, int64_t now)
+mt_controller_update_need (struct mt_controller_pool *p, bool starved, int64_t now)
 {
-  double coming = ARRIVING_SHARE * (double) p->load.arriving_cpu;
-  double kept = p->learned_at != 0 ? exp2 (-(double) (now - p->learned_at) / PEAK_HALF_MS) : 0;
-  unsigned hasty = machines_for (p, MAX (hasty_cpu (&p->load, starved), coming));
-  unsigned timely = machines_for (p, MAX ((double) p->load.demand_cpu, coming));
+  double lasting = LASTING_SHARE * (double) p->load.arriving_cpu;
+  double decay = p->peak_at != 0 ? exp2 (-(double) (now - p->peak_at) / PEAK_HALF_LIFE_MS) : 0;
+  unsigned burst = machines_for (p, MAX (burst_cpu (&p->load, starved), lasting));
+  unsigned mean = machines_for (p, MAX ((double) p->load.demand_cpu, lasting));
 
-  hold (&p->hasty, hasty, now);
-  hold (&p->timely, MIN (timely, hasty), now);
-  /* What was at work, not what waited: a starved pool would remember more than all machines. */
-  p->peak = MAX (p->peak * kept, (double) machines_for (p, (double) p->load.urgent_used_cpu));
-  p->learned_at = now;
+  update_recent_max (&p->burst_need, burst, now);
+  update_recent_max (&p->mean_need, MIN (mean, burst), now);
+  /* Counts what was running, not what waited: a starved pool would remember more than all
+   * machines. */
+  p->peak_machines
+      = MAX (p->peak_machines * decay, (double) machines_for (p, (double) p->load.urgent_used_cpu));
+  p->peak_at = now;
 }
 
 int64_t
-mt_controller_promised_cpu (const struct mt_controller_update_pool *p)
+mt_controller_allocated_cpu (const struct mt_controller_pool *p)
 {
-  return (int64_t) (p->wanted * machine_cpu (p));
+  return (int64_t) (p->n_allocated * machine_cpu (p));
 }
 
 static unsigned
-keep_of (const struct mt_controller_update_pool *p, double share)
+reserve_of (const struct mt_controller_pool *p, double share)
 {
-  return MAX ((unsigned) ceil (MAX (KEEP_SHARE * p->peak, share * p->base)), 1U);
+  return MAX ((unsigned) ceil (MAX (PEAK_RESERVE_SHARE * p->peak_machines, share * p->n_home)), 1U);
 }
 
 unsigned
-mt_controller_wanted_idle (const struct mt_controller_update_pool *p)
+mt_controller_idle_machines (const struct mt_controller_pool *p)
 {
-  bool surged = p->peak >= SURGED_SHARE * p->base;
+  bool surged = p->peak_machines >= SURGED_SHARE * p->n_home;
 
-  return MAX (p->wanted, keep_of (p, surged ? BASE_SHARE : 1));
+  return MAX (p->n_allocated, reserve_of (p, surged ? HOME_RESERVE_SHARE : 1));
 }
 
 /* ---- tiers ---- */
 
-/* Long-running tasks that may not share a worker wait for another worker, however empty those are
- * that there are: without one they stay away, or keep machines from their upkeep. */
+/* Long-running tasks that may not share a worker wait for another worker, however empty the
+ * existing ones are: without one they do not run, or keep machines from their maintenance. */
 static unsigned
-ask_pinned (const struct mt_controller_update_pool *p)
+need_pinned (const struct mt_controller_pool *p)
 {
-  return MAX (p->load.unplaceable > 0 && p->coming == 0 ? p->have + 1 : p->pinned, 1U);
+  return MAX (p->load.unplaceable > 0 && p->n_arriving == 0 ? p->n_machines + 1 : p->n_pinned, 1U);
 }
 
 static unsigned
-ask_timely (const struct mt_controller_update_pool *p)
+need_mean (const struct mt_controller_pool *p)
 {
-  return p->timely.machines;
+  return p->mean_need.machines;
 }
 
-/* It keeps what it has, and takes nothing for it: a machine that idles there was at work elsewhere.
- */
+/* The reserve is kept out of what the pool has, and nothing is taken for it: a machine that would
+ * idle here is in use elsewhere. */
 static unsigned
-ask_keep (const struct mt_controller_update_pool *p)
+need_reserve (const struct mt_controller_pool *p)
 {
-  return MIN (keep_of (p, BASE_SHARE), p->have);
+  return MIN (reserve_of (p, HOME_RESERVE_SHARE), p->n_machines);
 }
 
 static unsigned
-ask_hasty (const struct mt_controller_update_pool *p)
+need_burst (const struct mt_controller_pool *p)
 {
-  return p->hasty.machines;
+  return p->burst_need.machines;
 }
 
 static unsigned
-ask_late (const struct mt_controller_update_pool *p)
+need_overdue (const struct mt_controller_pool *p)
 {
-  return p->hasty.machines + machines_for (p, (double) p->load.overdue_cpu);
+  return p->burst_need.machines + machines_for (p, (double) p->load.overdue_cpu);
 }
 
 static const struct tier
 {
   const char *name;
   const char *description;
-  unsigned (*ask) (
-      const struct mt_controller_update_pool *p); /* machines in all, this tier included */
-  bool late;                                      /* no reason to take machines from other pools */
+  unsigned (*need) (const struct mt_controller_pool *p); /* machines in total, this tier included */
+  bool overdue;                                          /* takes no machines from other pools */
 } tiers[] = {
-  { "pinned", "machines that can't go, or one more for what finds none", ask_pinned },
-  { "keep", "what the next surge begins with", ask_keep },
-  { "timely", "what keeps jobs in time on average", ask_timely },
-  { "hasty", "more, since machines come late and arrivals in bunches", ask_hasty },
-  { "late", "what was accepted and can't be in time any more", ask_late, .late = true },
+  { "pinned", "machines that can't leave, or one more for tasks that find none", need_pinned },
+  { "keep", "reserve for the start of the next surge", need_reserve },
+  { "timely", "keeps jobs within their objectives on average", need_mean },
+  { "hasty", "margin, since machines arrive late and arrivals come in bunches", need_burst },
+  { "late", "accepted work that can't meet its objective any more", need_overdue, .overdue = true },
 };
 
 static bool
-takes_part (const struct mt_controller_update_pool *p)
+gets_machines (const struct mt_controller_pool *p)
 {
-  return !p->standby && p->seen;
+  return !p->standby && p->reported;
 }
 
 static unsigned
-asked_more (const struct tier *tier, const struct mt_controller_update_pool *p)
+additional_need (const struct tier *tier, const struct mt_controller_pool *p)
 {
-  unsigned asked = tier->ask (p);
+  unsigned requested = tier->need (p);
 
-  return asked > p->wanted ? asked - p->wanted : 0;
+  return requested > p->n_allocated ? requested - p->n_allocated : 0;
 }
 
 bool
-mt_controller_find_starved (struct mt_controller *ctl, int64_t now)
+mt_controller_update_starved (struct mt_controller *ctl, int64_t now)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
+  struct mt_controller_pool *p;
   bool starved = false;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
     {
-      if (!takes_part (p) || p->have >= p->timely.machines)
+      if (!gets_machines (p) || p->n_machines >= p->mean_need.machines)
         p->short_since = 0;
       else if (p->short_since == 0)
         p->short_since = now;
@@ -195,49 +199,50 @@
   return starved;
 }
 
-/* While a pool is starved, in proportion to what each asks for; what is left of the rounding goes
- * on to the next pools. */
+/* Allocates the machines of one tier. While a pool is starved each pool gets a share in proportion
+ * to what it asks for; what rounding leaves over carries over to the next pools. */
 static unsigned
-deal_tier (struct mt_controller *ctl, const struct tier *tier, unsigned left)
+allocate_tier (struct mt_controller *ctl, const struct tier *tier, unsigned available)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
-  unsigned asked = 0;
-  unsigned dealt = 0;
-  double due = 0;
+  struct mt_controller_pool *p;
+  unsigned requested = 0;
+  unsigned allocated = 0;
+  double cumulative_share = 0;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
-    asked += takes_part (p) ? asked_more (tier, p) : 0;
+    requested += gets_machines (p) ? additional_need (tier, p) : 0;
   g_hash_table_iter_init (&it, ctl->pools);
-  while (asked > 0 && g_hash_table_iter_next (&it, NULL, (void **) &p))
+  while (requested > 0 && g_hash_table_iter_next (&it, NULL, (void **) &p))
     {
       unsigned part;
 
-      if (!takes_part (p))
+      if (!gets_machines (p))
         continue;
-      due += asked_more (tier, p) * (ctl->starved ? MIN (1.0, (double) left / asked) : 1.0);
-      part = (unsigned) floor (due + 0.5) - dealt;
-      p->wanted += part;
-      dealt += part;
+      cumulative_share += additional_need (tier, p)
+                          * (ctl->starved ? MIN (1.0, (double) available / requested) : 1.0);
+      part = (unsigned) floor (cumulative_share + 0.5) - allocated;
+      p->n_allocated += part;
+      allocated += part;
     }
-  return MIN (dealt, left);
+  return MIN (allocated, available);
 }
 
 void
-mt_controller_deal (struct mt_controller *ctl, unsigned machines)
+mt_controller_allocate (struct mt_controller *ctl, unsigned machines)
 {
   GHashTableIter it;
-  struct mt_controller_update_pool *p;
+  struct mt_controller_pool *p;
 
   g_hash_table_iter_init (&it, ctl->pools);
   while (g_hash_table_iter_next (&it, NULL, (void **) &p))
-    p->wanted = 0;
+    p->n_allocated = 0;
   for (size_t i = 0; i < G_N_ELEMENTS (tiers); i++)
     {
-      machines -= deal_tier (ctl, &tiers[i], machines);
+      machines -= allocate_tier (ctl, &tiers[i], machines);
       g_hash_table_iter_init (&it, ctl->pools);
-      while (!tiers[i].late && g_hash_table_iter_next (&it, NULL, (void **) &p))
-        p->claimed = p->wanted;
+      while (!tiers[i].overdue && g_hash_table_iter_next (&it, NULL, (void **) &p))
+        p->n_claimed = p->n_allocated;
     }
 }
--- a/core/controller/grants.c
+++ b/core/controller/grants.c
@@ -1,21 +1,21 @@
-/* Allocation of a quota to pools that surge in turn.
+/* Allocates each quota to pools that surge in turn.
  *
- * The load: a workspace's jobs come to one pool for some seconds, then to the next. A fixed share
- * for each pool would leave most of the quota idle while its jobs wait; a pool that asked for each
- * task would wait for the answer. So each pool has a granted share, what it does not use goes to
- * the pool that lacks it, and what is left over is spread evenly. */
+ * A workspace's jobs come to one pool for some seconds, then to the next. Fixed shares would leave
+ * most of the quota idle while jobs wait; if a pool asked for each task, the task would wait for
+ * the answer. So each pool has a granted share. Shares that a pool does not use go to pools that
+ * lack them, and the rest is spread evenly. */
 #include "medlartrack/grants.h"
 
 #include <string.h>
 
-/* A pool that has not answered for so long may have a new leader, which takes an even share in the
- * end: the others make room for it. */
-#define MISSED_MS 1000
-/* ... and for so long, its grant has lapsed to an even share by its own clock: longer than the
- * lease by what a message may be on its way. */
-#define SILENT_MS (MT_GRANT_LEASE_MS + 1000)
-/* Where not all that is wanted can be had, another pool goes first after so long: a task that is
- * larger than an even share must run in the end. */
+/* A pool that has not answered for this long may have a new leader, which will take an even share;
+ * the other pools leave that much free. */
+#define NO_ANSWER_MS 1000
+/* After this time without an answer a pool's grant has expired to an even share by the pool's own
+ * clock: the lease plus the time that a message may take. */
+#define GRANT_EXPIRY_MS (MT_GRANT_LEASE_MS + 1000)
+/* If demand exceeds the quota, another pool goes first after this time: a task that is larger than
+ * an even share must run eventually. */
 #define ROTATION_MS 4000
 
 /* One pool's share of one workspace's quota. */
@@ -23,21 +23,21 @@
 {
   struct mt_resources used;
   struct mt_resources waiting;
-  struct mt_resources largest; /* task that waits */
-  struct mt_resources acked;   /* granted, as far as the pool has acknowledged */
+  struct mt_resources largest_waiting; /* largest waiting task */
+  struct mt_resources acked;           /* latest grant that the pool has acknowledged */
   struct mt_resources sent;
-  uint64_t sent_number; /* of the message that granted it; 0 for none */
+  uint64_t sent_sequence; /* of the message that carried the grant; 0 for none */
   bool is_acked;
-  bool has_grant; /* the pool's present leader has received one */
+  bool has_grant; /* the pool's current leader has received a grant */
 };
 
 struct pool
 {
   char *name;
-  uint64_t number; /* of the last message */
-  bool heard;
-  int64_t heard_at;
-  struct share *shares; /* by workspace */
+  uint64_t sequence; /* of the last message */
+  bool answered;
+  int64_t answered_at;
+  struct share *shares; /* by index of the workspace */
 };
 
 struct mt_grants
@@ -102,18 +102,18 @@
   return NULL;
 }
 
-/* What is known of a pool's shares outlives a change of the configuration. */
+/* Copies the pool's state from the old configuration, as far as its workspaces still exist. */
 static struct pool
-take_pool (const struct mt_grants *old, const char *name, char *const *names, unsigned n)
+copy_pool (const struct mt_grants *old, const char *name, char *const *names, unsigned n)
 {
   const struct pool *known = find_pool (old, name);
   struct pool out = { .name = g_strdup (name), .shares = g_new0 (struct share, n + 1) };
 
   if (known == NULL)
     return out;
-  out.number = known->number;
-  out.heard = known->heard;
-  out.heard_at = known->heard_at;
+  out.sequence = known->sequence;
+  out.answered = known->answered;
+  out.answered_at = known->answered_at;
   for (unsigned i = 0; i < n; i++)
     {
       const struct share *share = find_share (old, known, names[i]);
@@ -141,7 +141,7 @@
       quotas[i] = mt_workspaces_at (workspaces, i)->quota;
     }
   for (unsigned i = 0; i < n_pools; i++)
-    next[i] = take_pool (grants, pools[i], names, n);
+    next[i] = copy_pool (grants, pools[i], names, n);
   free_pools (grants->pools, grants->n_pools);
   g_strfreev (grants->names);
   g_free (grants->quotas);
@@ -152,143 +152,145 @@
   grants->n_pools = n_pools;
 }
 
-/* ---- what each pool may have ---- */
+/* ---- the share of each pool ---- */
 
-/* One figure of one workspace's quota, as it stands in all pools. */
-struct ledger
+/* One kind of resource of one workspace's quota, across all pools. */
+struct quota_view
 {
   const struct mt_grants *grants;
   unsigned workspace;
-  unsigned part; /* of a room */
+  unsigned kind; /* index of the kind of resource */
   int64_t quota;
   unsigned n_pools; /* at least one */
   int64_t now;
 };
 
 static const struct share *
-share_at (const struct ledger *l, unsigned pool)
+share_at (const struct quota_view *view, unsigned pool)
 {
-  return &l->grants->pools[pool].shares[l->workspace];
+  return &view->grants->pools[pool].shares[view->workspace];
 }
 
 static int64_t
-figure (const struct ledger *l, const struct mt_resources *room)
+amount (const struct quota_view *view, const struct mt_resources *resources)
 {
-  return mt_resources_get (room, l->part);
+  return mt_resources_get (resources, view->kind);
 }
 
 static bool
-is_silent (const struct ledger *l, unsigned pool, int64_t ms)
+is_silent (const struct quota_view *view, unsigned pool, int64_t ms)
 {
-  const struct pool *p = &l->grants->pools[pool];
+  const struct pool *p = &view->grants->pools[pool];
 
-  return !p->heard || l->now - p->heard_at >= ms;
+  return !p->answered || view->now - p->answered_at >= ms;
 }
 
-/* As much as the pool may be using, whatever was lost on the way. */
+/* Returns the most that the pool may be using, whatever messages were lost. */
 static int64_t
-reserved (const struct ledger *l, unsigned pool)
+reserved (const struct quota_view *view, unsigned pool)
 {
-  const struct share *share = share_at (l, pool);
-  int64_t even = l->quota / l->n_pools;
-  int64_t used = figure (l, &share->used);
-  int64_t granted = figure (l, &share->acked);
+  const struct share *share = share_at (view, pool);
+  int64_t even = view->quota / view->n_pools;
+  int64_t used = amount (view, &share->used);
+  int64_t granted = amount (view, &share->acked);
 
-  if (is_silent (l, pool, SILENT_MS))
+  if (is_silent (view, pool, GRANT_EXPIRY_MS))
     return MAX (used, even);
   if (!share->is_acked)
-    granted = MAX (granted, figure (l, &share->sent));
-  /* A leader without a grant takes an even share in the end. */
-  if (!share->has_grant || is_silent (l, pool, MISSED_MS))
+    granted = MAX (granted, amount (view, &share->sent));
+  /* A leader without a grant eventually takes an even share. */
+  if (!share->has_grant || is_silent (view, pool, NO_ANSWER_MS))
     granted = MAX (granted, even);
   return MAX (used, granted);
 }
 
 static int64_t
-wanted (const struct ledger *l, unsigned pool)
+demand (const struct quota_view *view, unsigned pool)
 {
-  const struct share *share = share_at (l, pool);
+  const struct share *share = share_at (view, pool);
 
-  return is_silent (l, pool, MISSED_MS) ? reserved (l, pool)
-                                        : figure (l, &share->used) + figure (l, &share->waiting);
+  return is_silent (view, pool, NO_ANSWER_MS)
+             ? reserved (view, pool)
+             : amount (view, &share->used) + amount (view, &share->waiting);
 }
 
-/* Where all can have what they want, each pool gets that and an even part of the rest. */
+/* If the quota covers all demand, each pool gets its demand and an even part of the rest. */
 static int64_t
-surplus_share (const struct ledger *l, unsigned pool, int64_t all_wanted)
+surplus_share (const struct quota_view *view, unsigned pool, int64_t total_demand)
 {
-  return wanted (l, pool) + (l->quota - all_wanted) / l->n_pools;
+  return demand (view, pool) + (view->quota - total_demand) / view->n_pools;
 }
 
-/* Max-min fairness: nobody gets more than it wants, nor more than an even part of what those leave
- * who want less. */
+/* Max-min fairness: no pool gets more than its demand, nor more than an even part of what pools
+ * with less demand leave. */
 static int64_t
-fair_level (const struct ledger *l)
+fair_level (const struct quota_view *view)
 {
-  unsigned n = l->n_pools;
-  int64_t level = l->quota / n;
+  unsigned n = view->n_pools;
+  int64_t level = view->quota / n;
 
   for (unsigned round = 0; round < n; round++)
     {
-      int64_t left = l->quota;
+      int64_t remaining = view->quota;
       unsigned above = 0;
 
       for (unsigned i = 0; i < n; i++)
-        if (wanted (l, i) <= level)
-          left -= wanted (l, i);
+        if (demand (view, i) <= level)
+          remaining -= demand (view, i);
         else
           above++;
-      level = above > 0 ? MAX (left / above, level) : level;
+      level = above > 0 ? MAX (remaining / above, level) : level;
     }
   return level;
 }
 
-/* Pools whose next task is larger than the fair level go first by rotation; the others leave room
+/* Pools whose next task is larger than the fair level go first in rotation; the others leave space
  * for it meanwhile. */
 static int64_t
-fair_share (const struct ledger *l, unsigned pool)
+fair_share (const struct quota_view *view, unsigned pool)
 {
-  unsigned n = l->n_pools;
-  unsigned first = (unsigned) (l->now / ROTATION_MS) % n;
-  int64_t largest = MIN (figure (l, &share_at (l, first)->largest), l->quota);
-  int64_t level = fair_level (l);
+  unsigned n = view->n_pools;
+  unsigned first = (unsigned) (view->now / ROTATION_MS) % n;
+  int64_t largest = MIN (amount (view, &share_at (view, first)->largest_waiting), view->quota);
+  int64_t level = fair_level (view);
 
   if (n > 1 && largest > level)
-    level = pool == first ? largest : (l->quota - largest) / (n - 1);
-  return MIN (wanted (l, pool), level);
+    level = pool == first ? largest : (view->quota - largest) / (n - 1);
+  return MIN (demand (view, pool), level);
 }
 
-/* What the pool is to be granted of this figure. Nothing is taken from a pool that has more than
- * its share while nobody lacks it. */
+/* Returns what the pool should be granted of this resource. Nothing is revoked from a pool that has
+ * more than its share while no other pool lacks it. */
 static int64_t
-target_share (const struct ledger *l, unsigned pool)
+target_share (const struct quota_view *view, unsigned pool)
 {
-  unsigned n = l->n_pools;
-  const struct share *share = share_at (l, pool);
-  int64_t granted = figure (l, share->is_acked ? &share->acked : &share->sent);
-  int64_t all_wanted = 0;
+  unsigned n = view->n_pools;
+  const struct share *share = share_at (view, pool);
+  int64_t granted = amount (view, share->is_acked ? &share->acked : &share->sent);
+  int64_t total_demand = 0;
   int64_t others = 0;
-  bool lacked = false;
+  bool shortage = false;
   int64_t target;
 
   for (unsigned i = 0; i < n; i++)
     {
-      all_wanted += wanted (l, i);
-      lacked |= wanted (l, i) > reserved (l, i);
-      others += i != pool ? reserved (l, i) : 0;
+      total_demand += demand (view, i);
+      shortage |= demand (view, i) > reserved (view, i);
+      others += i != pool ? reserved (view, i) : 0;
     }
-  target = all_wanted <= l->quota ? surplus_share (l, pool, all_wanted) : fair_share (l, pool);
+  target = total_demand <= view->quota ? surplus_share (view, pool, total_demand)
+                                       : fair_share (view, pool);
   if (target > granted)
-    return MAX (MIN (target, l->quota - others), granted);
-  return lacked || others + granted > l->quota ? target : granted;
+    return MAX (MIN (target, view->quota - others), granted);
+  return shortage || others + granted > view->quota ? target : granted;
 }
 
 static bool
-target_room (const struct mt_grants *grants,
-             unsigned workspace,
-             unsigned pool,
-             int64_t now,
-             struct mt_resources *out)
+target_resources (const struct mt_grants *grants,
+                  unsigned workspace,
+                  unsigned pool,
+                  int64_t now,
+                  struct mt_resources *out)
 {
   const struct share *share = &grants->pools[pool].shares[workspace];
   bool changed = false;
@@ -296,32 +298,32 @@
   *out = share->is_acked ? share->acked : share->sent;
   for (unsigned i = 0; i < MT_RESOURCE_KINDS; i++)
     {
-      struct ledger l = { .grants = grants,
-                          .workspace = workspace,
-                          .part = i,
-                          .quota = mt_resources_get (&grants->quotas[workspace], i),
-                          .n_pools = MAX (grants->n_pools, 1U),
-                          .now = now };
-
-      if (l.quota == 0)
+      struct quota_view view = { .grants = grants,
+                                 .workspace = workspace,
+                                 .kind = i,
+                                 .quota = mt_resources_get (&grants->quotas[workspace], i),
+                                 .n_pools = MAX (grants->n_pools, 1U),
+                                 .now = now };
+
+      if (view.quota == 0)
         continue;
-      *mt_resources_field (out, i) = target_share (&l, pool);
+      *mt_resources_field (out, i) = target_share (&view, pool);
       changed |= mt_resources_get (out, i) != mt_resources_get (&share->acked, i)
                  || mt_resources_get (out, i) != mt_resources_get (&share->sent, i);
     }
   return changed;
 }
 
-/* A pool that has not answered yet may have been granted anything by the leader before this one:
- * until it answers, or its grant has lapsed, no other grant changes. */
+/* A pool that has not answered yet may have been granted any share by the previous leader: no grant
+ * of another pool changes until it answers or its grant has expired. */
 static bool
-knows_all_pools (const struct mt_grants *grants, int64_t now)
+all_pools_answered (const struct mt_grants *grants, int64_t now)
 {
   bool all = true;
 
   for (unsigned i = 0; i < grants->n_pools; i++)
-    all &= grants->pools[i].heard;
-  return all || now - grants->created >= SILENT_MS;
+    all &= grants->pools[i].answered;
+  return all || now - grants->created >= GRANT_EXPIRY_MS;
 }
 
 struct mt_grant_message
@@ -333,36 +335,36 @@
 
   if (pool == NULL)
     return out;
-  out.sequence = ++pool->number;
-  out.all = !pool->heard;
+  out.sequence = ++pool->sequence;
+  out.all = !pool->answered;
   rows = g_new0 (struct mt_grant, grants->n_workspaces + 1);
   out.grants = rows;
-  if (!pool->heard || !knows_all_pools (grants, now))
+  if (!pool->answered || !all_pools_answered (grants, now))
     return out;
   for (unsigned i = 0; i < grants->n_workspaces; i++)
     {
       struct share *share = &pool->shares[i];
-      struct mt_resources room;
+      struct mt_resources resources;
 
-      if (!target_room (grants, i, (unsigned) (pool - grants->pools), now, &room) && share->is_acked
-          && share->has_grant)
+      if (!target_resources (grants, i, (unsigned) (pool - grants->pools), now, &resources)
+          && share->is_acked && share->has_grant)
         continue;
-      rows[out.n_grants++] = (struct mt_grant){ grants->names[i], room };
-      /* An earlier grant without an acknowledgement may be in force: the higher one counts. */
+      rows[out.n_grants++] = (struct mt_grant){ grants->names[i], resources };
+      /* An earlier grant that was not acknowledged may be in force: the higher one counts. */
       for (unsigned k = 0; !share->is_acked && k < MT_RESOURCE_KINDS; k++)
         *mt_resources_field (&share->acked, k)
             = MAX (mt_resources_get (&share->acked, k), mt_resources_get (&share->sent, k));
-      share->sent = room;
-      share->sent_number = out.sequence;
+      share->sent = resources;
+      share->sent_sequence = out.sequence;
       share->is_acked = false;
     }
   return out;
 }
 
 static void
-acknowledge (struct share *share, uint64_t number)
+acknowledge (struct share *share, uint64_t sequence)
 {
-  if (share->sent_number == 0 || share->sent_number > number)
+  if (share->sent_sequence == 0 || share->sent_sequence > sequence)
     return;
   share->acked = share->sent;
   share->is_acked = true;
@@ -371,7 +373,7 @@
 void
 mt_grants_acknowledge (struct mt_grants *grants,
                        const char *name,
-                       uint64_t number,
+                       uint64_t sequence,
                        const struct mt_account_view *views,
                        size_t n,
                        int64_t now)
@@ -380,13 +382,13 @@
 
   if (pool == NULL)
     return;
-  pool->heard = true;
-  pool->heard_at = now;
+  pool->answered = true;
+  pool->answered_at = now;
   for (unsigned i = 0; i < grants->n_workspaces; i++)
     {
-      pool->shares[i].used = pool->shares[i].waiting = pool->shares[i].largest
+      pool->shares[i].used = pool->shares[i].waiting = pool->shares[i].largest_waiting
           = (struct mt_resources){ 0 };
-      acknowledge (&pool->shares[i], number);
+      acknowledge (&pool->shares[i], sequence);
       pool->shares[i].has_grant = true;
     }
   for (size_t i = 0; i < n; i++)
@@ -397,9 +399,9 @@
         continue;
       share->used = views[i].used;
       share->waiting = views[i].waiting;
-      share->largest = views[i].largest_waiting;
+      share->largest_waiting = views[i].largest_waiting;
       share->has_grant = views[i].has_grant;
-      if (share->sent_number <= number)
+      if (share->sent_sequence <= sequence)
         {
           share->acked = views[i].granted;
           share->is_acked = true;
--- a/include/medlartrack/controller.h
+++ b/include/medlartrack/controller.h
@@ -1,6 +1,6 @@
-/* The fleet controller: which machine is emptied, kept up or moved next, over all pools together.
- * Without I/O: the owner feeds it what pools and machines look like and carries out what it wants.
- * One thread. Times are milliseconds of a clock that counts suspension. */
+/* The fleet controller: decides for all pools together which machine is drained, maintained or
+ * moved next. Does no I/O: the owner passes in the state of pools and machines and carries out the
+ * orders. Single-threaded. Times are milliseconds of a clock that counts suspension. */
 #ifndef MEDLARTRACK_CONTROLLER_H
 #define MEDLARTRACK_CONTROLLER_H
 
@@ -12,17 +12,18 @@
 
 struct mt_controller_settings
 {
-  int64_t move_ms;        /* a machine is away so long for a move ... */
-  int64_t maintenance_ms; /* ... and for its upkeep */
-  bool allow_moves;       /* machines may change their pool */
+  int64_t move_ms;        /* time that a machine is down for a move */
+  int64_t maintenance_ms; /* time that a machine is down for maintenance */
+  bool allow_moves;       /* machines may change pool */
 };
 
 struct mt_controller *mt_controller_create (const struct mt_controller_settings *settings);
 void mt_controller_destroy (struct mt_controller *ctl);
 
-/* ---- what the owner tells ---- */
+/* ---- input ---- */
 
-/* A pool whose machines are off and cost nothing takes what is not needed elsewhere. */
+/* Adds the pool or updates it. The machines of a standby pool are off and cost nothing; machines
+ * that no other pool needs are moved there. */
 void mt_controller_set_pool (struct mt_controller *ctl, const char *name, bool standby);
 
 struct mt_controller_machine_info
@@ -30,26 +31,29 @@
   const char *id;
   const char *pool;
   const char *rack;
-  const char *worker; /* its present life; NULL for none */
+  const char *worker; /* its current incarnation; NULL if none runs */
   bool up;
-  bool in_maintenance; /* down for its upkeep, whoever ordered that */
+  bool in_maintenance; /* down for maintenance, no matter who ordered it */
   struct mt_resources resources;
 };
 
-/* All machines that there are. asked: when the list was asked for; orders given later are newer. */
+/* Replaces the list of machines. requested_at: when the list was requested; it says nothing new
+ * about a machine on which an order was carried out since then. */
 void mt_controller_update_machines (struct mt_controller *ctl,
                                     const struct mt_controller_machine_info *machines,
                                     size_t n,
-                                    int64_t asked,
+                                    int64_t requested_at,
                                     int64_t now);
-/* What a pool's scheduler sees. */
+/* Updates a pool's load and workers from the report of its scheduler. */
 void mt_controller_update_pool (struct mt_controller *ctl,
                                 const char *name,
                                 const struct mt_scheduler_load *load,
                                 const struct mt_worker_view *workers,
                                 size_t n,
                                 int64_t now);
-/* A wave that is to be done by due; done: machines that have had it, as far as it is known. */
+/* Adds or updates a maintenance wave: the maintenance of its machines is to be done by due, at most
+ * cap machines down at a time. done: machines that are known to have had it. machines and done are
+ * NULL-terminated; either may be NULL. */
 void mt_controller_update_wave (struct mt_controller *ctl,
                                 int64_t number,
                                 char **machines,
@@ -57,18 +61,18 @@
                                 unsigned cap,
                                 int64_t due);
 
-/* Where a machine belongs, as a predecessor stored it; to be told before the first list. A machine
- * of which nothing is told belongs where it is first seen. */
+/* Sets a machine's home pool as an earlier controller stored it; call it before the first list of
+ * machines. A machine without a stored home belongs to the pool in which it is first listed. */
 void mt_controller_set_home (struct mt_controller *ctl, const char *machine, const char *pool);
 
-/* ---- what it wants ---- */
+/* ---- output ---- */
 
-/* Decides; mt_controller_next_order follows from it. */
+/* Updates the plan that mt_controller_next_order takes its orders from. */
 void mt_controller_plan (struct mt_controller *ctl, int64_t now);
-/* Machines that are, or are about to be, away from home, and their homes, by turns;
- * NULL-terminated, freed with g_strfreev. A move is ordered only once its machine's home is stored:
- * a successor would take the pool that it finds the machine in for its home. NULL where all is
- * stored. */
+/* Returns the machines that are, or are about to be, outside their home pool: machine, home,
+ * machine, home and so on, NULL-terminated; free with g_strfreev. NULL if all these homes are
+ * stored. A move is ordered only once its machine's home is stored: otherwise the next controller
+ * would take the machine's current pool for its home. */
 char **mt_controller_unstored_homes (struct mt_controller *ctl);
 void mt_controller_homes_stored (struct mt_controller *ctl, char **homes);
 
@@ -78,18 +82,19 @@
   MT_CONTROLLER_MOVE,
 };
 
-/* Borrows from the fleet controller until it is fed again. */
+/* The strings belong to the controller and stay valid until its state is next updated. */
 struct mt_controller_order
 {
   enum mt_controller_order_kind kind;
   const char *machine;
-  const char *worker; /* whose life it ends; NULL for none */
-  const char *pool;   /* where it is */
-  const char *to;     /* of a move */
+  const char *worker; /* incarnation that the order ends; NULL if none */
+  const char *pool;   /* the machine's current pool */
+  const char *to;     /* new pool, for a move */
   int64_t wave;
 };
 
-/* False where nothing is to be ordered now. Each order is to be answered. */
+/* Gets the next order; false if nothing is to be ordered now. The result of each order has to be
+ * passed to mt_controller_handle_result. */
 bool mt_controller_next_order (struct mt_controller *ctl,
                                int64_t now,
                                struct mt_controller_order *order);
@@ -99,34 +104,36 @@
   MT_CONTROLLER_ORDER_DONE,
   MT_CONTROLLER_ORDER_RETRY,
   MT_CONTROLLER_ORDER_REJECTED,
-  MT_CONTROLLER_ORDER_UNKNOWN, /* it may have been done, or be done yet */
+  MT_CONTROLLER_ORDER_UNKNOWN, /* it may have been carried out, or still be */
 };
 
 void mt_controller_handle_result (struct mt_controller *ctl,
                                   const char *machine,
-                                  enum mt_controller_order_result answer,
+                                  enum mt_controller_order_result result,
                                   int64_t now);
 
-/* What a pool's scheduler is to know; each NULL-terminated. */
+/* What a pool's scheduler has to know. The lists are NULL-terminated. */
 struct mt_controller_directives
 {
-  char **cordon;          /* workers to be emptied */
-  char **ended_workers;   /* workers whose life an order has ended */
-  char **maintenance_due; /* workers to be emptied later, for upkeep */
-  int64_t planned_cpu;    /* of the machines that the pool should have; 0 where that isn't known */
+  char **cordon;          /* workers to drain now */
+  char **ended_workers;   /* workers whose incarnation an order has ended */
+  char **maintenance_due; /* workers to drain later, for maintenance */
+  int64_t planned_cpu;    /* capacity of the machines that the pool should have; 0 if unknown */
 };
 
-void mt_controller_directives_clear (struct mt_controller_directives *notes);
-/* To be cleared by the caller. */
+void mt_controller_directives_clear (struct mt_controller_directives *directives);
+/* Clear the result with mt_controller_directives_clear. */
 struct mt_controller_directives
 mt_controller_pool_directives (struct mt_controller *ctl, const char *pool, int64_t now);
-/* Something is on its way: the list of machines will change. */
+/* Whether a machine is down or about to be drained, so that the list of machines will change. */
 bool mt_controller_expects_changes (const struct mt_controller *ctl);
-/* A pool lacks room or a machine is being emptied: news from the pools is worth its price. */
+/* Whether a pool is short of machines or a machine is being drained: only then is it worth the cost
+ * to fetch reports from the pools more often. */
 bool mt_controller_needs_frequent_loads (const struct mt_controller *ctl);
-/* All of its machines that stay have begun their upkeep. */
+/* Whether every machine of the wave that still exists has begun its maintenance. */
 bool mt_controller_wave_done (const struct mt_controller *ctl, int64_t number);
-/* Machines of the wave that have had it, NULL-terminated, freed with g_strfreev. */
+/* Returns the wave's machines that have begun their maintenance, NULL-terminated; free with
+ * g_strfreev. */
 char **mt_controller_wave_progress (const struct mt_controller *ctl, int64_t number);
 
 #endif
--- a/include/medlartrack/grants.h
+++ b/include/medlartrack/grants.h
@@ -1,8 +1,7 @@
-/* Quotas of workspaces, allocated to the pools by the fleet's leader. Each pool's leader keeps to
- * the share that it was granted; a share is taken back before it is granted to another pool, and
- * counts as taken back only once the pool has acknowledged it. Without I/O; one thread; times in
- * ms.
- */
+/* Allocates the quotas of workspaces to the pools; runs on the fleet leader. Each pool's leader
+ * stays within the share that it was granted. A share is revoked before it is granted to another
+ * pool, and counts as revoked only once the pool has acknowledged it. Does no I/O; single-threaded;
+ * times in ms. */
 #ifndef MEDLARTRACK_GRANTS_H
 #define MEDLARTRACK_GRANTS_H
 
@@ -11,23 +10,24 @@
 
 struct mt_grants;
 
-/* token: of the leadership that allocates. */
+/* token: fencing token of the leadership that allocates. */
 struct mt_grants *mt_grants_create (int64_t token, int64_t now);
 void mt_grants_destroy (struct mt_grants *grants);
 
-/* pools: NULL-terminated; workspaces: NULL for none. */
+/* pools: NULL-terminated; workspaces: NULL if there are none. */
 void mt_grants_configure (struct mt_grants *grants,
                           const char *const *pools,
                           const struct mt_workspaces *workspaces);
 
-/* The next message to the pool of that name; its rows are g_freed by the caller and borrow their
- * names until the next call to mt_grants_configure. */
+/* Returns the next message to the pool of that name. The caller frees its array of grants with
+ * g_free; their workspace names stay valid until the next call to mt_grants_configure. */
 struct mt_grant_message
 mt_grants_next_message (struct mt_grants *grants, const char *name, int64_t now);
-/* The pool has acknowledged that message, and has these accounts. */
+/* Handles a pool's acknowledgement of the message with that sequence number. views: the pool's
+ * accounts. */
 void mt_grants_acknowledge (struct mt_grants *grants,
                             const char *name,
-                            uint64_t number,
+                            uint64_t sequence,
                             const struct mt_account_view *views,
                             size_t n,
                             int64_t now);
--- a/tests/scheduler/test_controller.c
+++ b/tests/scheduler/test_controller.c
@@ -11,7 +11,7 @@
 
 #define MACHINES 12
 
-/* Machines of one pool and what its scheduler tells of them. */
+/* The machines of one pool and what its scheduler reports of them. */
 struct site
 {
   struct mt_controller *controller;
@@ -56,20 +56,21 @@
   g_free (site);
 }
 
-/* The scheduler does as it is told: cordons what it should, and tells what it sees. */
+/* Reports as the pool's scheduler does, after cordoning the workers that the controller asked
+ * for. */
 static void
-site_tell (struct site *site)
+site_report (struct site *site)
 {
-  struct mt_controller_directives notes;
+  struct mt_controller_directives directives;
 
   site->now += 150;
   mt_controller_update_machines (site->controller, site->machines, MACHINES, site->now - 10,
                                  site->now);
-  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
+  directives = mt_controller_pool_directives (site->controller, "pool", site->now);
   for (int i = 0; i < MACHINES; i++)
     site->views[i].cordoned
-        = g_strv_contains ((const char *const *) notes.cordon, site->workers[i]);
-  mt_controller_directives_clear (&notes);
+        = g_strv_contains ((const char *const *) directives.cordon, site->workers[i]);
+  mt_controller_directives_clear (&directives);
   mt_controller_update_pool (site->controller, "pool", &site->load, site->views, MACHINES,
                              site->now);
 }
@@ -85,7 +86,7 @@
 }
 
 static unsigned
-site_orders (struct site *site, enum mt_controller_order_result answer)
+site_carry_out (struct site *site, enum mt_controller_order_result result)
 {
   struct mt_controller_order order;
   unsigned n = 0;
@@ -96,9 +97,9 @@
       int i = machine[1] - '0';
 
       n++;
-      if (answer == MT_CONTROLLER_ORDER_DONE && i < MACHINES)
+      if (result == MT_CONTROLLER_ORDER_DONE && i < MACHINES)
         site->machines[i].up = false;
-      mt_controller_handle_result (site->controller, machine, answer, site->now);
+      mt_controller_handle_result (site->controller, machine, result, site->now);
     }
   return n;
 }
@@ -113,8 +114,8 @@
   return n;
 }
 
-/* An upkeep ends all that runs on its machine. It is ordered only once the scheduler has told,
- * after it was asked to keep the worker empty, that nothing is there. */
+/* Maintenance ends everything that runs on its machine. Guards against ordering it before the
+ * scheduler, asked to keep the worker empty, has reported that nothing runs there. */
 static void
 test_only_an_empty_machine_is_ordered (void **state)
 {
@@ -122,75 +123,75 @@
 
   for (int i = 0; i < MACHINES; i++)
     site->views[i].tasks = 1;
-  site_tell (site);
+  site_report (site);
   site_wave (site, 3, 60000);
   for (int i = 0; i < 10; i++)
     {
-      site_tell (site);
-      assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
+      site_report (site);
+      assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_DONE), 0);
     }
   for (int i = 0; i < MACHINES; i++)
     site->views[i].tasks = 0;
-  site_tell (site);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 3);
+  site_report (site);
+  assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_DONE), 3);
   site_destroy (site);
 }
 
-/* No more than the wave's cap are down at a time; one whose order had no answer may be. */
+/* Guards against more machines down than the wave's cap: one whose order got no answer may be
+ * down. */
 static void
-test_cap_holds_with_orders_in_doubt (void **state)
+test_cap_counts_unconfirmed_orders (void **state)
 {
   struct site *site = site_create ();
 
-  site_tell (site);
+  site_report (site);
   site_wave (site, 2, 60000);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN),
-                    0); /* planned, not empty yet */
-  site_tell (site);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN), 2);
+  assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_UNKNOWN), 0); /* not empty yet */
+  site_report (site);
+  assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_UNKNOWN), 2);
   for (int i = 0; i < 10; i++)
     {
-      site_tell (site);
-      assert_true (site_orders (site, MT_CONTROLLER_ORDER_UNKNOWN) <= 2);
+      site_report (site);
+      assert_true (site_carry_out (site, MT_CONTROLLER_ORDER_UNKNOWN) <= 2);
       assert_int_equal (site_planned (site), 2);
     }
   assert_false (mt_controller_wave_done (site->controller, 1));
   site_destroy (site);
 }
 
-/* The upkeep of a machine was done before, by a call without an answer; ordered again it is
- * answered as done. The worker there is the life after it, and runs on: its scheduler must not be
- * told that it has ended, or its tasks would be started a second time. */
+/* A machine's maintenance was done by a call whose answer was lost; ordered again, it is answered
+ * as done. The worker there is a later incarnation and keeps running. Guards against notifying its
+ * scheduler that it has ended: its tasks would be started a second time. */
 static void
-test_order_done_before_ends_no_life (void **state)
+test_repeated_order_does_not_end_later_incarnation (void **state)
 {
   struct site *site = site_create ();
   struct mt_controller_order order;
-  struct mt_controller_directives notes;
+  struct mt_controller_directives directives;
   g_autofree char *machine = NULL;
 
-  site_tell (site);
+  site_report (site);
   site_wave (site, 1, 60000);
-  assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
-  site_tell (site);
+  assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_DONE), 0);
+  site_report (site);
   assert_true (mt_controller_next_order (site->controller, site->now, &order));
   machine = g_strdup (order.machine);
   mt_controller_handle_result (site->controller, machine, MT_CONTROLLER_ORDER_DONE, site->now);
-  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
-  assert_int_equal (g_strv_length (notes.ended_workers), 0);
-  assert_true (g_strv_length (notes.cordon) >= 1);
-  site_tell (site);
-  mt_controller_directives_clear (&notes);
-  notes = mt_controller_pool_directives (site->controller, "pool", site->now);
-  assert_int_equal (g_strv_length (notes.ended_workers), 0);
-  mt_controller_directives_clear (&notes);
+  directives = mt_controller_pool_directives (site->controller, "pool", site->now);
+  assert_int_equal (g_strv_length (directives.ended_workers), 0);
+  assert_true (g_strv_length (directives.cordon) >= 1);
+  site_report (site);
+  mt_controller_directives_clear (&directives);
+  directives = mt_controller_pool_directives (site->controller, "pool", site->now);
+  assert_int_equal (g_strv_length (directives.ended_workers), 0);
+  mt_controller_directives_clear (&directives);
   site_destroy (site);
 }
 
-/* While its pool is short of room and there is time, a wave waits; when time gets short it goes on.
- */
+/* While its pool is short of machines and there is time, a wave waits; when time gets short it
+ * continues. */
 static void
-test_wave_waits_for_a_trough_while_it_can (void **state)
+test_wave_waits_for_a_trough_while_there_is_time (void **state)
 {
   struct site *site = site_create ();
   unsigned ordered = 0;
@@ -198,27 +199,27 @@
   site->load.urgent = 50;
   for (int i = 0; i < MACHINES; i++)
     site->views[i].used.cpu = 15000;
-  site_tell (site);
+  site_report (site);
   site_wave (site, 4, 60000);
   for (int i = 0; i < 20; i++)
     {
-      site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
+      site_report (site);
+      ordered += site_carry_out (site, MT_CONTROLLER_ORDER_DONE);
     }
   assert_int_equal (ordered, 0);
   site->now += 45000;
   for (int i = 0; i < 4; i++)
     {
-      site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
+      site_report (site);
+      ordered += site_carry_out (site, MT_CONTROLLER_ORDER_DONE);
     }
   assert_true (ordered > 0);
   site_destroy (site);
 }
 
-/* The pool is busy all the time, so no moment is good. One machine has eight long-running tasks of
- * one step, which go one after the other: it must begin so early that they are gone when the wave
- * is due, while the others still wait for a trough. */
+/* The pool is always busy, so no moment is good. One machine has eight long-running tasks of one
+ * step, which move one after the other. It must begin early enough to have moved them all when the
+ * wave is due, while the other machines still wait for a trough. */
 static void
 test_machine_that_drains_slowly_begins_early (void **state)
 {
@@ -231,21 +232,21 @@
     }
   site->views[3].long_running = 8;
   site->views[3].drain_rounds = 8;
-  site_tell (site);
+  site_report (site);
   site_wave (site, MACHINES, 30000);
   for (int i = 0; i < 60; i++) /* 9 s */
     {
-      site_tell (site);
-      site_orders (site, MT_CONTROLLER_ORDER_DONE);
+      site_report (site);
+      site_carry_out (site, MT_CONTROLLER_ORDER_DONE);
     }
-  site_tell (site);
+  site_report (site);
   assert_int_equal (site_planned (site), 1);
   assert_true (site->views[3].cordoned);
   site_destroy (site);
 }
 
-/* Whoever asked for the wave is told that it is completed only after each machine has begun; one
- * that is no longer there is not waited for. */
+/* A wave counts as done only after each of its machines has begun; a machine that no longer exists
+ * is not waited for. */
 static void
 test_wave_is_done_when_every_machine_has_begun (void **state)
 {
@@ -253,14 +254,14 @@
   unsigned ordered = 0;
   char *gone[] = { "m-gone", NULL };
 
-  site_tell (site);
+  site_report (site);
   site_wave (site, 12, 60000);
   mt_controller_update_wave (site->controller, 1, gone, NULL, 12, site->now + 60000);
   for (int i = 0; i < 60 && ordered < MACHINES; i++)
     {
       assert_false (mt_controller_wave_done (site->controller, 1));
-      site_tell (site);
-      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
+      site_report (site);
+      ordered += site_carry_out (site, MT_CONTROLLER_ORDER_DONE);
       for (int m = 0; m < MACHINES; m++)
         site->machines[m].up = true;
     }
@@ -270,10 +271,10 @@
   site_destroy (site);
 }
 
-/* A fleet controller takes over while machines are down for their upkeep: they count, though it
- * ordered none of them, and until they are up again no other goes down beyond the cap. */
+/* A fleet controller takes over while machines are down for maintenance. They count towards the cap
+ * though it ordered none of them: until they are up, no other one goes down beyond it. */
 static void
-test_machines_that_a_predecessor_sent_down_count (void **state)
+test_machines_already_in_maintenance_count (void **state)
 {
   struct site *site = site_create ();
 
@@ -283,12 +284,12 @@
       site->machines[i].in_maintenance = true;
       site->machines[i].worker = NULL;
     }
-  site_tell (site);
+  site_report (site);
   site_wave (site, 3, 60000);
   for (int i = 0; i < 10; i++)
     {
-      site_tell (site);
-      assert_int_equal (site_orders (site, MT_CONTROLLER_ORDER_DONE), 0);
+      site_report (site);
+      assert_int_equal (site_carry_out (site, MT_CONTROLLER_ORDER_DONE), 0);
     }
   site_destroy (site);
 }
@@ -297,7 +298,8 @@
 
 #define POOL_MACHINES 8
 
-/* Two pools of eight, a standby pool of four, and schedulers that do as they are told. */
+/* Two pools of eight, a standby pool of four, and schedulers that cordon the workers that they are
+ * asked to. */
 struct fleet
 {
   struct mt_controller *controller;
@@ -306,20 +308,20 @@
   char names[20][8];
   char workers[20][8];
   int64_t away_until[20];
-  int64_t demand[2]; /* processors' worth, in thousandths of a core */
-  int64_t late[2];   /* what can't be in time any more asks for */
-  unsigned stranded[2];
+  int64_t demand[2];      /* in thousandths of a core */
+  int64_t overdue_cpu[2]; /* demand of work that can't meet its objective, likewise */
+  unsigned unplaceable[2];
   unsigned moves;
-  unsigned upkeeps;
+  unsigned maintenances;
   unsigned to_standby;
   char **homes; /* as stored */
   bool store_down;
-  bool sticky; /* cordoned workers don't get empty */
+  bool stay_busy; /* cordoned workers don't become empty */
   struct
   {
     unsigned tasks; /* 0: by its pool's demand */
     int64_t free_ms;
-  } holds[20];
+  } contents[20];
 };
 
 static const char *const pools[] = { "left", "right", "standby" };
@@ -369,42 +371,43 @@
 }
 
 static void
-fleet_tell_pool (struct fleet *fleet, int pool)
+fleet_report_pool (struct fleet *fleet, int pool)
 {
   struct mt_worker_view views[20];
   struct mt_scheduler_load load = { 0 };
-  struct mt_controller_directives notes;
-  int64_t left = fleet->demand[pool];
+  struct mt_controller_directives directives;
+  int64_t unmet_cpu = fleet->demand[pool];
   size_t n = 0;
 
-  notes = mt_controller_pool_directives (fleet->controller, pools[pool], fleet->now);
+  directives = mt_controller_pool_directives (fleet->controller, pools[pool], fleet->now);
   for (int i = 0; i < 20; i++)
     {
-      bool cordoned = g_strv_contains ((const char *const *) notes.cordon, fleet->workers[i]);
-      int64_t used = cordoned ? 0 : MIN (left, 16000);
+      bool cordoned = g_strv_contains ((const char *const *) directives.cordon, fleet->workers[i]);
+      int64_t used = cordoned ? 0 : MIN (unmet_cpu, 16000);
 
       if (!fleet->machines[i].up || strcmp (fleet->machines[i].pool, pools[pool]) != 0)
         continue;
-      left -= used;
+      unmet_cpu -= used;
       load.used_cpu += used;
       load.urgent_used_cpu += used;
       load.upcoming_cpu += used;
       load.arriving_cpu = fleet->demand[pool];
       load.capacity_cpu += 16000;
-      views[n++] = (struct mt_worker_view){ .id = fleet->workers[i],
-                                            .tasks = fleet->holds[i].tasks > 0
-                                                         ? fleet->holds[i].tasks
-                                                         : used > 0 || (cordoned && fleet->sticky),
-                                            .batch_remaining_ms = fleet->holds[i].free_ms,
-                                            .cordoned = cordoned,
-                                            .resources = { .cpu = 16000, .mem = 32768 },
-                                            .used = { .cpu = used } };
+      views[n++]
+          = (struct mt_worker_view){ .id = fleet->workers[i],
+                                     .tasks = fleet->contents[i].tasks > 0
+                                                  ? fleet->contents[i].tasks
+                                                  : used > 0 || (cordoned && fleet->stay_busy),
+                                     .batch_remaining_ms = fleet->contents[i].free_ms,
+                                     .cordoned = cordoned,
+                                     .resources = { .cpu = 16000, .mem = 32768 },
+                                     .used = { .cpu = used } };
     }
-  mt_controller_directives_clear (&notes);
-  load.urgent = left > 0 ? 10 : 0;
+  mt_controller_directives_clear (&directives);
+  load.urgent = unmet_cpu > 0 ? 10 : 0;
   load.demand_cpu = fleet->demand[pool];
-  load.overdue_cpu = fleet->late[pool];
-  load.unplaceable = fleet->stranded[pool];
+  load.overdue_cpu = fleet->overdue_cpu[pool];
+  load.unplaceable = fleet->unplaceable[pool];
   mt_controller_update_pool (fleet->controller, pools[pool], &load, views, n, fleet->now);
 }
 
@@ -448,8 +451,8 @@
           }
       mt_controller_update_machines (fleet->controller, fleet->machines, 20, fleet->now,
                                      fleet->now);
-      fleet_tell_pool (fleet, 0);
-      fleet_tell_pool (fleet, 1);
+      fleet_report_pool (fleet, 0);
+      fleet_report_pool (fleet, 1);
       mt_controller_plan (fleet->controller, fleet->now);
       fleet_store_homes (fleet);
       while (mt_controller_next_order (fleet->controller, fleet->now, &order))
@@ -458,7 +461,7 @@
           g_autofree char *machine = g_strdup (order.machine);
 
           if (order.kind == MT_CONTROLLER_MAINTENANCE)
-            fleet->upkeeps++;
+            fleet->maintenances++;
           else
             fleet_move (fleet, i, order.to);
           fleet->machines[i].up = false;
@@ -471,12 +474,11 @@
     }
 }
 
-/* The fleet controller begins while nobody asks for anything. It must not take that for the pools'
- * need and switch them off: the first surge would meet empty pools, and its callers would wait for
- * seconds.
- */
+/* The fleet controller starts while there is no demand. Guards against taking that for the pools'
+ * need and switching machines off: the first surge would meet empty pools, and its callers would
+ * wait for seconds. */
 static void
-test_calm_beginning_switches_nothing_off (void **state)
+test_start_without_demand_moves_nothing (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -485,8 +487,8 @@
   fleet_destroy (fleet);
 }
 
-/* One pool asks for half as much again as it holds: the standby machines are on their way within
- * half a second, and back once they are not needed. */
+/* One pool's demand is half as much again as it holds: the standby machines must be on their way
+ * within half a second, and go back once they are not needed. */
 static void
 test_standby_machines_follow_a_surge (void **state)
 {
@@ -504,11 +506,11 @@
   fleet_destroy (fleet);
 }
 
-/* The fleet controller dies in a surge, with the standby machines in the surging pool. Its
- * successor must not take that pool for their home: they would stay, and the next pool's surge
- * would find none. */
+/* The fleet controller dies in a surge, with the standby machines in the surging pool. Guards
+ * against a successor that takes that pool for their home: they would stay, and the next pool's
+ * surge would find none. */
 static void
-test_successor_knows_where_machines_belong (void **state)
+test_new_controller_restores_homes (void **state)
 {
   static const struct mt_controller_settings settings
       = { .move_ms = 1500, .maintenance_ms = 2000, .allow_moves = true };
@@ -531,10 +533,11 @@
   fleet_destroy (fleet);
 }
 
-/* A surge has ended, and its machines are being emptied for the standby pool when the other pool
- * surges. They must go there straight: by the standby pool they would come two seconds later. */
+/* A surge has ended, and its machines are being drained for the standby pool when the other pool
+ * surges. They must go there directly: by way of the standby pool they would come two seconds
+ * later. */
 static void
-test_machines_being_emptied_go_where_they_are_needed (void **state)
+test_draining_machines_are_redirected_to_a_surge (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -542,19 +545,19 @@
   fleet->demand[0] = 12 * 16000;
   fleet_run (fleet, 4000);
   fleet->demand[0] = 8000;
-  fleet->sticky = true;
+  fleet->stay_busy = true;
   fleet_run (fleet, 4000);
   fleet->to_standby = 0;
   fleet->demand[1] = 12 * 16000;
   fleet_run (fleet, 300);
-  fleet->sticky = false;
+  fleet->stay_busy = false;
   fleet_run (fleet, 2400);
   assert_true (fleet_count (fleet, 1) >= POOL_MACHINES + 4);
   assert_int_equal (fleet->to_standby, 0);
   fleet_destroy (fleet);
 }
 
-/* Nothing moves whose home is not stored. */
+/* Guards against moving a machine whose home is not stored. */
 static void
 test_no_move_before_its_home_is_stored (void **state)
 {
@@ -571,10 +574,10 @@
   fleet_destroy (fleet);
 }
 
-/* The pools surge by turns. What one has got for its surge goes on to the next, and none keeps so
- * much of what once waited for it that the other starves. */
+/* The pools surge in turn. The machines of one surge go on to the next; guards against a pool that
+ * remembers so much of its waiting work that the other one starves. */
 static void
-test_surges_by_turns_share_the_machines (void **state)
+test_surges_in_turn_share_the_machines (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -589,37 +592,36 @@
   fleet_destroy (fleet);
 }
 
-/* The right pool surges, and the left one has two machines to spare, all at work. Those that will
- * be empty first must go, however many tasks they hold: the others would come when the surge is
- * over.
- */
+/* The right pool surges, and the left one has two machines to spare, all busy. Those that will be
+ * empty first must go, however many tasks they hold: the others would come when the surge is
+ * over. */
 static void
 test_machines_that_empty_first_go_first (void **state)
 {
   struct fleet *fleet = fleet_create ();
-  struct mt_controller_directives notes;
+  struct mt_controller_directives directives;
 
   for (int i = 0; i < POOL_MACHINES; i++)
     {
-      fleet->holds[i].tasks = i < 4 ? 5 : 1;
-      fleet->holds[i].free_ms = i < 4 ? 300 : 4000;
+      fleet->contents[i].tasks = i < 4 ? 5 : 1;
+      fleet->contents[i].free_ms = i < 4 ? 300 : 4000;
     }
   fleet_run (fleet, 6000);
   fleet->demand[1] = 14 * 16000;
   fleet_run (fleet, 600);
-  notes = mt_controller_pool_directives (fleet->controller, "left", fleet->now);
-  assert_in_range (g_strv_length (notes.cordon), 2, 4);
-  for (char **id = notes.cordon; *id != NULL; id++)
+  directives = mt_controller_pool_directives (fleet->controller, "left", fleet->now);
+  assert_in_range (g_strv_length (directives.cordon), 2, 4);
+  for (char **id = directives.cordon; *id != NULL; id++)
     assert_true (atoi (*id + 1) < 4);
-  mt_controller_directives_clear (&notes);
+  mt_controller_directives_clear (&directives);
   fleet_destroy (fleet);
 }
 
-/* The left pool's surge is over: nothing waits there, and what still runs could be done sooner only
- * if it were more tasks than it is. The right pool, whose callers wait, must get what the left one
- * doesn't use, not only what it wouldn't use in haste. */
+/* The left pool's surge is over: nothing waits there, and more machines would not complete its
+ * running tasks sooner. The right pool, whose callers wait, must get all that the left one doesn't
+ * use, without a margin for the left one. */
 static void
-test_pool_without_waiting_work_spares_what_it_does_not_use (void **state)
+test_pool_without_waiting_work_releases_unused_machines (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -634,10 +636,11 @@
   fleet_destroy (fleet);
 }
 
-/* The left pool is in its trough when the right one surges to more than all machines. What idles at
- * the left for a surge that may come must not be most of it: callers of the right pool wait now. */
+/* The left pool is in its trough when the right one surges to more than all machines. Guards
+ * against a reserve for a possible surge that is most of the left pool: callers of the right pool
+ * wait now. */
 static void
-test_trough_gives_most_of_its_machines (void **state)
+test_pool_in_trough_releases_most_machines (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -654,24 +657,24 @@
 }
 
 /* The left pool's long-running tasks may not share a worker, and one of them finds none though the
- * machines that there are stand half empty. The pool must get a machine, and not one at each look
- * while that is on its way. */
+ * existing machines are half empty. The pool must get one machine, not another one in each planning
+ * round while that is on its way. */
 static void
-test_stranded_task_brings_one_machine (void **state)
+test_unplaceable_task_adds_one_machine (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
   fleet_run (fleet, 6000);
-  fleet->stranded[0] = 1;
+  fleet->unplaceable[0] = 1;
   fleet_run (fleet, 1300);
   assert_int_equal (fleet_count (fleet, 0), POOL_MACHINES + 1);
   fleet_destroy (fleet);
 }
 
-/* News from the pools is asked for more often while callers wait for machines, and no longer: at
- * the size of a whole data centre the reports are most of what control sends. */
+/* Reports from the pools are fetched more often while callers wait for machines, and no longer:
+ * with a whole data centre, the reports are most of the control traffic. */
 static void
-test_controller_is_pressed_while_a_surge_waits (void **state)
+test_frequent_loads_needed_while_a_surge_waits (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -686,11 +689,11 @@
   fleet_destroy (fleet);
 }
 
-/* The left pool asks for all machines and more, and goes on doing so when the right one surges as
- * well. Whoever came first must not keep all: callers of the right pool would get nothing for as
- * long as the left one's work is waiting. */
+/* The left pool asks for more than all machines, and still does when the right one surges as well.
+ * Guards against the first pool keeping all: callers of the right pool would get nothing while the
+ * left one's work is waiting. */
 static void
-test_second_surge_gets_its_part_of_a_full_fleet (void **state)
+test_second_surge_gets_its_share_of_a_full_fleet (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -705,10 +708,10 @@
   fleet_destroy (fleet);
 }
 
-/* Both pools are calm but for work that was accepted and can't be in time any more. It gets the
- * machines that nobody else wants; it takes none from the other pool's. */
+/* The pools have little demand apart from accepted work that can't meet its objective any more. It
+ * gets the machines that no other pool wants and takes none from the other pool. */
 static void
-test_late_work_gets_what_nobody_wants (void **state)
+test_overdue_work_gets_only_unwanted_machines (void **state)
 {
   struct fleet *fleet = fleet_create ();
 
@@ -718,62 +721,62 @@
   fleet->demand[0] = fleet->demand[1] = 8000;
   fleet_run (fleet, 8000);
   assert_true (fleet_count (fleet, 2) >= 8);
-  fleet->late[0] = 6 * 16000;
+  fleet->overdue_cpu[0] = 6 * 16000;
   fleet_run (fleet, 4000);
   assert_in_range (fleet_count (fleet, 0), 7, 9);
   fleet->moves = 0;
-  fleet->late[0] = fleet->late[1] = 40 * 16000;
+  fleet->overdue_cpu[0] = fleet->overdue_cpu[1] = 40 * 16000;
   fleet_run (fleet, 4000);
   assert_int_equal (fleet_count (fleet, 2), 0);
   fleet->moves = 0;
-  fleet->late[1] = 60 * 16000;
+  fleet->overdue_cpu[1] = 60 * 16000;
   fleet_run (fleet, 4000);
   assert_int_equal (fleet->moves, 0);
   fleet_destroy (fleet);
 }
 
-/* Every machine of the pool has long-running tasks, whose budget lets one go at a time. Begun
- * together, all would be kept from other work for as long as the last one takes: the next begins as
- * the one before it is empty, and the wave is in time all the same. */
+/* Every machine of the pool has long-running tasks, whose budget lets one move at a time. If all
+ * machines began together, all would be kept from other work until the last is empty: the next must
+ * begin when the one before it is empty, and the wave must still be in time. */
 static void
 test_machines_with_long_running_tasks_drain_in_turn (void **state)
 {
   struct site *site = site_create ();
   unsigned ordered = 0;
-  unsigned most = 0;
+  unsigned max_planned = 0;
 
   for (int i = 0; i < MACHINES; i++)
     {
       site->views[i].tasks = site->views[i].long_running = 2;
       site->views[i].drain_rounds = 2;
     }
-  site_tell (site);
+  site_report (site);
   site_wave (site, MACHINES, 60000);
-  for (int i = 0; i < 400; i++) /* 60 s; a machine is empty 1.2 s after it is begun with */
+  for (int i = 0; i < 400; i++) /* 60 s; a machine is empty 1.2 s after it began */
     {
-      site_tell (site);
-      most = MAX (most, site_planned (site));
+      site_report (site);
+      max_planned = MAX (max_planned, site_planned (site));
       for (int m = 0; m < MACHINES; m++)
         if (site->views[m].cordoned && i % 16 == 15)
           site->views[m].tasks = site->views[m].long_running = site->views[m].drain_rounds = 0;
-      ordered += site_orders (site, MT_CONTROLLER_ORDER_DONE);
+      ordered += site_carry_out (site, MT_CONTROLLER_ORDER_DONE);
       for (int m = 0; m < MACHINES; m++)
         site->machines[m].up = true;
     }
-  assert_in_range (most, 1, 2);
+  assert_in_range (max_planned, 1, 2);
   assert_int_equal (ordered, MACHINES);
   site_destroy (site);
 }
 
-/* A surge begins, and a wave of all machines is due in 80 s. Its cap would let it take all that are
- * off, and a third of each pool, just when callers wait for them; it takes as many at a time as it
- * needs to be done. */
+/* A surge begins, and a wave of all machines is due in 80 s. Its cap would let it take all machines
+ * that are off, and a third of each pool, while callers wait for them. It must take only as many at
+ * a time as it needs to be done. */
 static void
 test_wave_is_spread_while_callers_wait (void **state)
 {
   struct fleet *fleet = fleet_create ();
   char *machines[21] = { NULL };
-  struct mt_controller_directives notes;
+  struct mt_controller_directives directives;
 
   fleet_run (fleet, 6000);
   fleet->demand[0] = 40 * 16000;
@@ -783,11 +786,11 @@
     machines[i] = fleet->names[i];
   mt_controller_update_wave (fleet->controller, 1, machines, NULL, 20, fleet->now + 80000);
   fleet_run (fleet, 900);
-  assert_in_range (fleet->upkeeps, 1, 2);
+  assert_in_range (fleet->maintenances, 1, 2);
   fleet->store_down = false;
-  notes = mt_controller_pool_directives (fleet->controller, "right", fleet->now);
-  assert_true (g_strv_length (notes.maintenance_due) >= 1);
-  mt_controller_directives_clear (&notes);
+  directives = mt_controller_pool_directives (fleet->controller, "right", fleet->now);
+  assert_true (g_strv_length (directives.maintenance_due) >= 1);
+  mt_controller_directives_clear (&directives);
   fleet_run (fleet, 80000);
   assert_true (mt_controller_wave_done (fleet->controller, 1));
   fleet_destroy (fleet);
@@ -798,25 +801,25 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_only_an_empty_machine_is_ordered),
-    cmocka_unit_test (test_calm_beginning_switches_nothing_off),
+    cmocka_unit_test (test_start_without_demand_moves_nothing),
     cmocka_unit_test (test_standby_machines_follow_a_surge),
-    cmocka_unit_test (test_successor_knows_where_machines_belong),
-    cmocka_unit_test (test_machines_being_emptied_go_where_they_are_needed),
+    cmocka_unit_test (test_new_controller_restores_homes),
+    cmocka_unit_test (test_draining_machines_are_redirected_to_a_surge),
     cmocka_unit_test (test_no_move_before_its_home_is_stored),
-    cmocka_unit_test (test_surges_by_turns_share_the_machines),
-    cmocka_unit_test (test_trough_gives_most_of_its_machines),
-    cmocka_unit_test (test_stranded_task_brings_one_machine),
-    cmocka_unit_test (test_second_surge_gets_its_part_of_a_full_fleet),
-    cmocka_unit_test (test_late_work_gets_what_nobody_wants),
+    cmocka_unit_test (test_surges_in_turn_share_the_machines),
+    cmocka_unit_test (test_pool_in_trough_releases_most_machines),
+    cmocka_unit_test (test_unplaceable_task_adds_one_machine),
+    cmocka_unit_test (test_second_surge_gets_its_share_of_a_full_fleet),
+    cmocka_unit_test (test_overdue_work_gets_only_unwanted_machines),
     cmocka_unit_test (test_machines_with_long_running_tasks_drain_in_turn),
     cmocka_unit_test (test_wave_is_spread_while_callers_wait),
-    cmocka_unit_test (test_controller_is_pressed_while_a_surge_waits),
+    cmocka_unit_test (test_frequent_loads_needed_while_a_surge_waits),
     cmocka_unit_test (test_machines_that_empty_first_go_first),
-    cmocka_unit_test (test_pool_without_waiting_work_spares_what_it_does_not_use),
-    cmocka_unit_test (test_machines_that_a_predecessor_sent_down_count),
-    cmocka_unit_test (test_cap_holds_with_orders_in_doubt),
-    cmocka_unit_test (test_order_done_before_ends_no_life),
-    cmocka_unit_test (test_wave_waits_for_a_trough_while_it_can),
+    cmocka_unit_test (test_pool_without_waiting_work_releases_unused_machines),
+    cmocka_unit_test (test_machines_already_in_maintenance_count),
+    cmocka_unit_test (test_cap_counts_unconfirmed_orders),
+    cmocka_unit_test (test_repeated_order_does_not_end_later_incarnation),
+    cmocka_unit_test (test_wave_waits_for_a_trough_while_there_is_time),
     cmocka_unit_test (test_machine_that_drains_slowly_begins_early),
     cmocka_unit_test (test_wave_is_done_when_every_machine_has_begun),
   };
--- a/tests/scheduler/test_grants.c
+++ b/tests/scheduler/test_grants.c
@@ -12,14 +12,14 @@
 
 static const char *const pools[] = { "a", "b", "c", "d", NULL };
 
-/* Pools that do as they are told at once. */
+/* Pools that apply their grants at once. */
 struct fixture
 {
   struct mt_grants *grants;
   int64_t now;
   struct mt_account_view views[4];
   bool silent[4];
-  bool unheard[4]; /* it gets its messages, its answers are lost */
+  bool answers_lost[4]; /* it gets its messages, its answers are lost */
 };
 
 static void
@@ -53,7 +53,7 @@
 }
 
 static void
-tell (struct fixture *f, unsigned i)
+exchange_messages (struct fixture *f, unsigned i)
 {
   struct mt_grant_message message = mt_grants_next_message (f->grants, pools[i], f->now);
 
@@ -62,7 +62,7 @@
       f->views[i].granted = message.grants[0].resources;
       f->views[i].has_grant = true;
     }
-  if (!f->silent[i] && !f->unheard[i])
+  if (!f->silent[i] && !f->answers_lost[i])
     mt_grants_acknowledge (f->grants, pools[i], message.sequence, &f->views[i], 1, f->now);
   g_free ((struct mt_grant *) message.grants);
 }
@@ -71,7 +71,7 @@
 run_round (struct fixture *f)
 {
   for (unsigned i = 0; i < 4; i++)
-    tell (f, i);
+    exchange_messages (f, i);
   f->now += ROUND_MS;
 }
 
@@ -83,7 +83,7 @@
 }
 
 static void
-test_what_nobody_wants_is_spread_evenly (void **state)
+test_unused_quota_is_spread_evenly (void **state)
 {
   struct fixture *f = create_fixture ();
 
@@ -93,9 +93,10 @@
   destroy_fixture (f);
 }
 
-/* Guards against a quota that lies idle in three pools while a workspace's surge waits in one. */
+/* Guards against a quota that is idle in three pools while a workspace's surge waits in the
+ * fourth. */
 static void
-test_surge_gets_what_other_pools_leave (void **state)
+test_surge_gets_unused_shares (void **state)
 {
   struct fixture *f = create_fixture ();
 
@@ -115,7 +116,7 @@
   destroy_fixture (f);
 }
 
-/* Guards against a pool that is cut off and uses a share that was granted to others meanwhile. */
+/* Guards against a partitioned pool that uses a share granted to other pools meanwhile. */
 static void
 test_silent_pool_keeps_its_share (void **state)
 {
@@ -134,7 +135,7 @@
   destroy_fixture (f);
 }
 
-/* Guards against a share that counts as not granted because its acknowledgement was lost. */
+/* Guards against counting a share as not granted because its acknowledgement was lost. */
 static void
 test_unacknowledged_grant_counts (void **state)
 {
@@ -143,19 +144,19 @@
   f->views[1].waiting.cpu = 4 * (int64_t) QUOTA;
   run_round (f);
   run_round (f);
-  f->unheard[1] = true;
-  tell (f, 1);
+  f->answers_lost[1] = true;
+  exchange_messages (f, 1);
   assert_int_equal (f->views[1].granted.cpu, QUOTA);
   f->views[0].waiting.cpu = 4 * (int64_t) QUOTA;
   for (unsigned i = 0; i < 8; i++)
     {
-      tell (f, 0);
+      exchange_messages (f, 0);
       assert_int_equal (f->views[0].granted.cpu, 0);
     }
   destroy_fixture (f);
 }
 
-/* Guards against a new leader who grants what its predecessor's pools still have. */
+/* Guards against a new leader that grants shares which pools still hold from its predecessor. */
 static void
 test_new_leader_waits_for_every_pool (void **state)
 {
@@ -176,9 +177,9 @@
   destroy_fixture (f);
 }
 
-/* Guards against shares that stay above a quota that was lowered. */
+/* Guards against shares that stay above a lowered quota. */
 static void
-test_lowered_quota_is_taken_back (void **state)
+test_lowered_quota_is_revoked (void **state)
 {
   struct fixture *f = create_fixture ();
   int64_t sum = 0;
@@ -193,9 +194,9 @@
   destroy_fixture (f);
 }
 
-/* Guards against a task larger than an even share that waits for ever. */
+/* Guards against a task larger than an even share that waits forever. */
 static void
-test_large_task_has_its_turn (void **state)
+test_large_task_is_granted_eventually (void **state)
 {
   struct fixture *f = create_fixture ();
   bool had[4] = { false };
@@ -220,13 +221,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_what_nobody_wants_is_spread_evenly),
-    cmocka_unit_test (test_surge_gets_what_other_pools_leave),
+    cmocka_unit_test (test_unused_quota_is_spread_evenly),
+    cmocka_unit_test (test_surge_gets_unused_shares),
     cmocka_unit_test (test_silent_pool_keeps_its_share),
     cmocka_unit_test (test_unacknowledged_grant_counts),
     cmocka_unit_test (test_new_leader_waits_for_every_pool),
-    cmocka_unit_test (test_lowered_quota_is_taken_back),
-    cmocka_unit_test (test_large_task_has_its_turn),
+    cmocka_unit_test (test_lowered_quota_is_revoked),
+    cmocka_unit_test (test_large_task_is_granted_eventually),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
