--- a/core/jobs/book.c
+++ b/core/jobs/book.c
@@ -1,4 +1,4 @@
-/* The book: who runs what where, and what each report, loss and cancellation does to it. */
+/* Scheduler state: creation, lookup, job queues, workers, teams and queries. */
 #include "internal.h"
 
 #include <string.h>
@@ -79,7 +79,7 @@
   struct mt_job_kind *kind = data;
 
   g_free (kind->name);
-  g_hash_table_unref (kind->per_rack);
+  g_hash_table_unref (kind->running_per_rack);
   g_free (kind);
 }
 
@@ -94,12 +94,12 @@
 }
 
 static void
-clear_stray (gpointer data)
+clear_orphan (gpointer data)
 {
-  struct mt_stray *stray = data;
+  struct mt_orphan *orphan = data;
 
-  g_free (stray->job);
-  g_free (stray->worker);
+  g_free (orphan->job);
+  g_free (orphan->worker);
 }
 
 struct mt_jobs *
@@ -117,13 +117,13 @@
   jobs->tombstones = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < MT_URGENCY_COUNT; i++)
     g_queue_init (&jobs->waiting[i]);
-  g_queue_init (&jobs->unreported);
-  jobs->asking = g_ptr_array_new ();
+  g_queue_init (&jobs->unconfirmed);
+  jobs->end_requests = g_ptr_array_new ();
   jobs->changes = g_ptr_array_new ();
   jobs->new_tombstones = g_ptr_array_new ();
   jobs->overcommitted = g_ptr_array_new ();
-  jobs->strays = g_array_new (FALSE, TRUE, sizeof (struct mt_stray));
-  g_array_set_clear_func (jobs->strays, clear_stray);
+  jobs->orphans = g_array_new (FALSE, TRUE, sizeof (struct mt_orphan));
+  g_array_set_clear_func (jobs->orphans, clear_orphan);
   return jobs;
 }
 
@@ -134,12 +134,12 @@
     return;
   for (int i = 0; i < MT_URGENCY_COUNT; i++)
     g_queue_clear (&jobs->waiting[i]);
-  g_queue_clear (&jobs->unreported);
-  g_ptr_array_unref (jobs->asking);
+  g_queue_clear (&jobs->unconfirmed);
+  g_ptr_array_unref (jobs->end_requests);
   g_ptr_array_unref (jobs->changes);
   g_ptr_array_unref (jobs->new_tombstones);
   g_ptr_array_unref (jobs->overcommitted);
-  g_array_unref (jobs->strays);
+  g_array_unref (jobs->orphans);
   g_hash_table_unref (jobs->jobs);
   g_hash_table_unref (jobs->workers);
   g_hash_table_unref (jobs->teams);
@@ -162,7 +162,7 @@
 }
 
 static struct mt_team *
-need_team (struct mt_jobs *jobs, const char *name)
+get_or_create_team (struct mt_jobs *jobs, const char *name)
 {
   struct mt_team *team = g_hash_table_lookup (jobs->teams, name);
 
@@ -176,7 +176,7 @@
 }
 
 static struct mt_job_kind *
-need_kind (struct mt_jobs *jobs, const char *name)
+get_or_create_kind (struct mt_jobs *jobs, const char *name)
 {
   struct mt_job_kind *kind = g_hash_table_lookup (jobs->kinds, name);
 
@@ -184,13 +184,13 @@
     return kind;
   kind = g_new0 (struct mt_job_kind, 1);
   kind->name = g_strdup (name);
-  kind->per_rack = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  kind->running_per_rack = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_insert (jobs->kinds, kind->name, kind);
   return kind;
 }
 
 static struct mt_pool_workers *
-need_pool (struct mt_jobs *jobs, const char *name)
+get_or_create_pool (struct mt_jobs *jobs, const char *name)
 {
   struct mt_pool_workers *pool = g_hash_table_lookup (jobs->pools, name);
 
@@ -213,7 +213,7 @@
 }
 
 static gint
-by_age (gconstpointer a, gconstpointer b, gpointer data)
+compare_age (gconstpointer a, gconstpointer b, gpointer data)
 {
   const struct mt_job *x = a;
   const struct mt_job *y = b;
@@ -227,17 +227,17 @@
   GQueue *queue = &jobs->waiting[job->aged ? MT_URGENCY_URGENT : job->urgency];
   const struct mt_job *tail = g_queue_peek_tail (queue);
 
-  /* Nearly always the youngest: a sorted insert would walk the whole queue. */
-  if (tail == NULL || by_age (tail, job, NULL) <= 0)
+  /* A new job is nearly always the youngest; a sorted insert would walk the whole queue. */
+  if (tail == NULL || compare_age (tail, job, NULL) <= 0)
     g_queue_push_tail (queue, job);
   else
-    g_queue_insert_sorted (queue, job, by_age, NULL);
+    g_queue_insert_sorted (queue, job, compare_age, NULL);
 }
 
 static void
-count_in_rack (struct mt_job *job, int by)
+adjust_rack_count (struct mt_job *job, int by)
 {
-  GHashTable *racks = job->kind->per_rack;
+  GHashTable *racks = job->kind->running_per_rack;
   int count = GPOINTER_TO_INT (g_hash_table_lookup (racks, job->worker->rack)) + by;
 
   if (count > 0)
@@ -247,17 +247,17 @@
 }
 
 void
-mt_jobs_allocate (struct mt_job *job, struct mt_worker *worker, struct mt_job_resources size)
+mt_jobs_allocate (struct mt_job *job, struct mt_worker *worker, struct mt_job_resources resources)
 {
   job->worker = worker;
   job->lease = worker->lease;
-  job->taken = size;
+  job->allocated = resources;
   job->used = (struct mt_job_resources){ 0, 0, 0 };
   job->throttled = false;
-  worker->taken = mt_job_resources_add (worker->taken, size);
+  worker->allocated = mt_job_resources_add (worker->allocated, resources);
   g_ptr_array_add (worker->tasks, job);
-  mt_team_allocate (job, size);
-  count_in_rack (job, 1);
+  mt_team_allocate (job, resources);
+  adjust_rack_count (job, 1);
 }
 
 void
@@ -267,35 +267,35 @@
 
   if (worker == NULL)
     return;
-  count_in_rack (job, -1);
+  adjust_rack_count (job, -1);
   mt_team_release (job);
-  worker->taken = mt_job_resources_sub (worker->taken, job->taken);
+  worker->allocated = mt_job_resources_sub (worker->allocated, job->allocated);
   g_ptr_array_remove_fast (worker->tasks, job);
   job->worker = NULL;
-  job->taken = (struct mt_job_resources){ 0, 0, 0 };
+  job->allocated = (struct mt_job_resources){ 0, 0, 0 };
 }
 
 void
 mt_jobs_request_end (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
 {
   mt_jobs_set_state (jobs, job, state);
-  job->asked_us = 0;
-  if (!g_ptr_array_find (jobs->asking, job, NULL))
-    g_ptr_array_add (jobs->asking, job);
+  job->requested_us = 0;
+  if (!g_ptr_array_find (jobs->end_requests, job, NULL))
+    g_ptr_array_add (jobs->end_requests, job);
 }
 
 static void
-stop_asking (struct mt_jobs *jobs, struct mt_job *job)
+untrack_requests (struct mt_jobs *jobs, struct mt_job *job)
 {
-  g_ptr_array_remove_fast (jobs->asking, job);
-  if (!job->reported)
-    g_queue_remove (&jobs->unreported, job);
+  g_ptr_array_remove_fast (jobs->end_requests, job);
+  if (!job->confirmed)
+    g_queue_remove (&jobs->unconfirmed, job);
 }
 
 void
 mt_jobs_finish (struct mt_jobs *jobs, struct mt_job *job, enum mt_job_state state)
 {
-  stop_asking (jobs, job);
+  untrack_requests (jobs, job);
   mt_jobs_release (job);
   mt_jobs_set_state (jobs, job, state);
 }
@@ -303,7 +303,7 @@
 void
 mt_jobs_requeue (struct mt_jobs *jobs, struct mt_job *job)
 {
-  /* A cancelled job never waits again, whichever report ended its copy. */
+  /* A cancelled job is not queued again, whichever report ended its task. */
   if (job->state == MT_JOB_STOPPING)
     {
       mt_jobs_finish (jobs, job, MT_JOB_CANCELLED);
@@ -314,7 +314,7 @@
 }
 
 static void
-checkpoint_all (struct mt_jobs *jobs, struct mt_worker *worker)
+checkpoint_worker_tasks (struct mt_jobs *jobs, struct mt_worker *worker)
 {
   for (guint i = 0; i < worker->tasks->len; i++)
     {
@@ -326,13 +326,13 @@
 }
 
 static void
-join_pool (struct mt_jobs *jobs, struct mt_worker *worker, const char *pool)
+set_worker_pool (struct mt_jobs *jobs, struct mt_worker *worker, const char *pool)
 {
   if (worker->pool != NULL)
-    g_ptr_array_remove_fast (need_pool (jobs, worker->pool)->workers, worker);
+    g_ptr_array_remove_fast (get_or_create_pool (jobs, worker->pool)->workers, worker);
   g_free (worker->pool);
   worker->pool = g_strdup (pool);
-  g_ptr_array_add (need_pool (jobs, pool)->workers, worker);
+  g_ptr_array_add (get_or_create_pool (jobs, pool)->workers, worker);
 }
 
 static struct mt_worker *
@@ -355,8 +355,8 @@
   if (worker->pool != NULL && strcmp (worker->pool, pool) == 0)
     return;
   jobs->generation++;
-  checkpoint_all (jobs, worker);
-  join_pool (jobs, worker, pool);
+  checkpoint_worker_tasks (jobs, worker);
+  set_worker_pool (jobs, worker, pool);
 }
 
 void
@@ -366,9 +366,9 @@
 
   if (worker == NULL)
     worker = add_worker (jobs, spec);
-  if (memcmp (&worker->size, &spec->capacity, sizeof worker->size) != 0)
+  if (memcmp (&worker->capacity, &spec->capacity, sizeof worker->capacity) != 0)
     jobs->generation++;
-  worker->size = spec->capacity;
+  worker->capacity = spec->capacity;
   move_worker (jobs, worker, spec->pool);
 }
 
@@ -411,7 +411,7 @@
     return;
   worker->draining = draining;
   if (draining)
-    checkpoint_all (jobs, worker);
+    checkpoint_worker_tasks (jobs, worker);
 }
 
 void
@@ -443,7 +443,7 @@
 void
 mt_jobs_set_quota (struct mt_jobs *jobs, const char *name, struct mt_job_resources quota)
 {
-  need_team (jobs, name)->quota = quota;
+  get_or_create_team (jobs, name)->quota = quota;
 }
 
 bool
@@ -456,8 +456,8 @@
     return false;
   job = g_new0 (struct mt_job, 1);
   job->name = g_strdup (spec->name);
-  job->kind = need_kind (jobs, spec->kind);
-  job->team = need_team (jobs, spec->team);
+  job->kind = get_or_create_kind (jobs, spec->kind);
+  job->team = get_or_create_team (jobs, spec->team);
   job->pool = g_strdup (spec->pool);
   job->declared = spec->declared;
   job->urgency = spec->urgency;
@@ -478,7 +478,7 @@
 }
 
 static void
-forget_tombstone (struct mt_jobs *jobs, const char *name)
+remove_tombstone (struct mt_jobs *jobs, const char *name)
 {
   for (guint i = jobs->new_tombstones->len; i-- > 0;)
     if (strcmp (jobs->new_tombstones->pdata[i], name) == 0)
@@ -495,7 +495,7 @@
 
   if (job == NULL)
     {
-      forget_tombstone (jobs, name);
+      remove_tombstone (jobs, name);
       return true;
     }
   if (!has_ended (job))
@@ -503,8 +503,8 @@
   g_ptr_array_remove_fast (jobs->changes, job);
   g_hash_table_iter_init (&iter, jobs->workers);
   while (g_hash_table_iter_next (&iter, NULL, &worker))
-    if (((struct mt_worker *) worker)->held_for == job)
-      ((struct mt_worker *) worker)->held_for = NULL;
+    if (((struct mt_worker *) worker)->reserved_for == job)
+      ((struct mt_worker *) worker)->reserved_for = NULL;
   g_hash_table_remove (jobs->jobs, name);
   return true;
 }
@@ -558,7 +558,7 @@
 {
   const struct mt_team *team = g_hash_table_lookup (jobs->teams, name);
 
-  return team != NULL ? team->held : (struct mt_job_resources){ 0, 0, 0 };
+  return team != NULL ? team->in_use : (struct mt_job_resources){ 0, 0, 0 };
 }
 
 struct mt_job_resources
@@ -574,5 +574,5 @@
 {
   const struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
-  return worker != NULL ? worker->taken : (struct mt_job_resources){ 0, 0, 0 };
+  return worker != NULL ? worker->allocated : (struct mt_job_resources){ 0, 0, 0 };
 }
--- a/core/jobs/events.c
+++ b/core/jobs/events.c
@@ -1,10 +1,10 @@
-/* What losses, cancellations and reports do to the book. */
+/* Applies cancellations, task reports and worker losses to the scheduler state. */
 #include "internal.h"
 
 #include <string.h>
 
 static void
-bury (struct mt_jobs *jobs, const char *name)
+add_tombstone (struct mt_jobs *jobs, const char *name)
 {
   char *copy;
 
@@ -22,7 +22,7 @@
 
   if (job == NULL)
     {
-      bury (jobs, name);
+      add_tombstone (jobs, name);
       return;
     }
   switch (job->state)
@@ -46,23 +46,23 @@
 }
 
 static void
-note_usage (struct mt_jobs *jobs, struct mt_job *job, const struct mt_job_report *report)
+record_usage (struct mt_jobs *jobs, struct mt_job *job, const struct mt_job_report *report)
 {
   struct mt_worker *worker = job->worker;
 
-  /* Usage is reported with a lag: what was measured before the task had time to grow would teach
+  /* Usage is reported with a delay. A measurement from before the task had time to grow would teach
    * sizes near zero, and the next jobs of the kind would overcommit their workers. */
   if (report->measured_us < job->started_us + jobs->options.usage_delay_us)
     return;
   job->used = report->usage;
   mt_job_kind_record_usage (job->kind, report->usage);
-  if (!mt_job_resources_fit (report->usage, job->taken)
+  if (!mt_job_resources_fit (report->usage, job->allocated)
       && !g_ptr_array_find (jobs->overcommitted, worker, NULL))
     g_ptr_array_add (jobs->overcommitted, worker);
 }
 
 static void
-retry_or_end (struct mt_jobs *jobs, struct mt_job *job, const char *what)
+retry_or_end (struct mt_jobs *jobs, struct mt_job *job, const char *cause)
 {
   unsigned workers = mt_job_failed_workers (job);
 
@@ -71,32 +71,32 @@
       mt_jobs_requeue (jobs, job);
       return;
     }
-  job->reason = g_strdup_printf ("%s %u different workers", what, workers);
+  job->reason = g_strdup_printf ("%s %u different workers", cause, workers);
   mt_jobs_finish (jobs, job, MT_JOB_POISON);
 }
 
 static void
-note_failure (struct mt_jobs *jobs, struct mt_job *job)
+record_failure (struct mt_jobs *jobs, struct mt_job *job)
 {
   mt_worker_record_failure (jobs, job->worker, job);
   retry_or_end (jobs, job, "failed on");
 }
 
 static void
-note_stray (struct mt_jobs *jobs, const struct mt_job_report *report)
+record_orphan (struct mt_jobs *jobs, const struct mt_job_report *report)
 {
-  struct mt_stray stray = { g_strdup (report->job), g_strdup (report->worker), report->epoch };
+  struct mt_orphan orphan = { g_strdup (report->job), g_strdup (report->worker), report->epoch };
 
-  g_array_append_val (jobs->strays, stray);
+  g_array_append_val (jobs->orphans, orphan);
 }
 
 static void
-note_running (struct mt_jobs *jobs, struct mt_job *job, const struct mt_job_report *report)
+record_running (struct mt_jobs *jobs, struct mt_job *job, const struct mt_job_report *report)
 {
-  if (!job->reported)
-    g_queue_remove (&jobs->unreported, job);
-  job->reported = true;
-  note_usage (jobs, job, report);
+  if (!job->confirmed)
+    g_queue_remove (&jobs->unconfirmed, job);
+  job->confirmed = true;
+  record_usage (jobs, job, report);
 }
 
 void
@@ -109,21 +109,21 @@
   if (!current)
     {
       if (report->kind == MT_REPORT_RUNNING)
-        note_stray (jobs, report);
+        record_orphan (jobs, report);
       return;
     }
   switch (report->kind)
     {
     case MT_REPORT_RUNNING:
-      note_running (jobs, job, report);
+      record_running (jobs, job, report);
       break;
     case MT_REPORT_DONE:
-      note_usage (jobs, job, report);
+      record_usage (jobs, job, report);
       mt_worker_record_success (job->worker);
       mt_jobs_finish (jobs, job, job->state == MT_JOB_STOPPING ? MT_JOB_CANCELLED : MT_JOB_DONE);
       break;
     case MT_REPORT_FAILED:
-      note_failure (jobs, job);
+      record_failure (jobs, job);
       break;
     case MT_REPORT_STOPPED:
     case MT_REPORT_CHECKPOINTED:
@@ -134,10 +134,11 @@
 }
 
 static void
-lose_task (struct mt_jobs *jobs, struct mt_job *job)
+handle_lost_task (struct mt_jobs *jobs, struct mt_job *job)
 {
-  /* A lapsed lease does not prove that the task stopped: what may not run twice waits for the
-   * proof, or an invoice run would be started again beside a live copy. */
+  /* An expired lease does not prove that the task stopped. A job that may not run twice waits for
+   * confirmation; otherwise an invoice run, say, would be started again while the first copy is
+   * alive. */
   if (job->may_run_twice)
     mt_jobs_requeue (jobs, job);
   else if (job->state == MT_JOB_RUNNING || job->state == MT_JOB_CHECKPOINTING)
@@ -151,10 +152,10 @@
 
   if (worker == NULL || lease != worker->lease)
     return;
-  worker->lost = true;
-  worker->lost_us = mt_clock_now (jobs->clock);
+  worker->lease_lost = true;
+  worker->lease_lost_us = mt_clock_now (jobs->clock);
   for (guint i = worker->tasks->len; i-- > 0;)
-    lose_task (jobs, worker->tasks->pdata[i]);
+    handle_lost_task (jobs, worker->tasks->pdata[i]);
 }
 
 void
@@ -162,11 +163,11 @@
 {
   struct mt_worker *worker = mt_jobs_find_worker (jobs, name);
 
-  /* What was begun to be fenced stays so until the worker itself confirms. */
+  /* A job that is already being fenced stays so until the worker itself confirms the fence. */
   if (worker == NULL || lease != worker->lease)
     return;
-  worker->lost = false;
-  worker->lost_us = 0;
+  worker->lease_lost = false;
+  worker->lease_lost_us = 0;
 }
 
 void
@@ -179,8 +180,8 @@
   for (guint i = 0; i < worker->tasks->len; i++)
     mt_worker_record_crash (jobs, worker, worker->tasks->pdata[i]);
   worker->lease = lease;
-  worker->lost = false;
-  worker->lost_us = 0;
+  worker->lease_lost = false;
+  worker->lease_lost_us = 0;
   for (guint i = worker->tasks->len; i-- > 0;)
-    retry_or_end (jobs, worker->tasks->pdata[i], "took down");
+    retry_or_end (jobs, worker->tasks->pdata[i], "crashed");
 }
--- a/core/jobs/journal.c
+++ b/core/jobs/journal.c
@@ -5,21 +5,20 @@
 #include <stdio.h>
 #include <string.h>
 
-#define COMPACT_AFTER 512 /* batches in a generation */
-#define SNAPSHOT_BYTES                                                                             \
-  (900 * 1000)              /* the platform takes a megabyte; beyond it the log grows on           \
-                             */
+#define COMPACT_AFTER_BATCHES 512 /* batches in a generation before it is compacted */
+#define MAX_SNAPSHOT_BYTES                                                                         \
+  (900 * 1000)              /* the platform's limit is 1 MB; above this the log is not compacted */
 #define HEADER_BYTES 34     /* "writer serial\n", both 16 hex digits */
-#define SEAL         "seal" /* a batch with this text ends its generation */
+#define SEAL         "seal" /* body of the batch that ends a generation */
 
 struct mt_jobs_journal
 {
   const struct mt_store *store;
   char *prefix; /* ends with '/' */
   uint64_t writer;
-  uint64_t serial; /* of this writer's batches, so that it knows its own after a lost answer */
+  uint64_t serial; /* counts this writer's batches, to recognise its own after a lost answer */
   uint64_t generation;
-  uint64_t next; /* first free number in the generation */
+  uint64_t next_seq; /* first free sequence number in the generation */
 };
 
 struct mt_jobs_journal *
@@ -43,17 +42,17 @@
 }
 
 static char *
-batch_key (const struct mt_jobs_journal *journal, uint64_t generation, uint64_t number)
+batch_key (const struct mt_jobs_journal *journal, uint64_t generation, uint64_t seq)
 {
   return g_strdup_printf ("%s%010" G_GUINT64_FORMAT "/%010" G_GUINT64_FORMAT, journal->prefix,
-                          generation, number);
+                          generation, seq);
 }
 
 static bool
 parse_key (const struct mt_jobs_journal *journal,
            const char *key,
            uint64_t *generation,
-           uint64_t *number)
+           uint64_t *seq)
 {
   char *end = NULL;
 
@@ -62,12 +61,12 @@
   *generation = g_ascii_strtoull (key + strlen (journal->prefix), &end, 10);
   if (end == NULL || *end != '/')
     return false;
-  *number = g_ascii_strtoull (end + 1, &end, 10);
+  *seq = g_ascii_strtoull (end + 1, &end, 10);
   return *end == '\0';
 }
 
-/* The newest generation that begins with its first batch: a later one that does not was begun by a
- * planner that died before its snapshot, and holds nothing. */
+/* Returns the newest generation that has its first batch. A later one without it was begun by a
+ * planner that died before it wrote its snapshot, and is empty. */
 static uint64_t
 newest_generation (const struct mt_jobs_journal *journal, const GPtrArray *values)
 {
@@ -77,9 +76,9 @@
     {
       const struct mt_store_value *value = values->pdata[i];
       uint64_t generation;
-      uint64_t number;
+      uint64_t seq;
 
-      if (parse_key (journal, value->key, &generation, &number) && number == 0)
+      if (parse_key (journal, value->key, &generation, &seq) && seq == 0)
         newest = MAX (newest, generation);
     }
   return newest;
@@ -105,17 +104,18 @@
   if (value->len < HEADER_BYTES)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "%s holds %zu bytes, no batch of jobs; remove the key", value->key, value->len);
+                   "%s: %zu bytes are too short for a batch of jobs; remove the key", value->key,
+                   value->len);
       return false;
     }
-  /* An empty batch opens a generation that had nothing to carry over. */
+  /* An empty batch is the snapshot of a state equal to the declared jobs. */
   if (is_seal (value) || value->len == HEADER_BYTES)
     return true;
   return mt_jobs_replay (jobs, body_of (value), error);
 }
 
 static gint
-by_key (gconstpointer a, gconstpointer b)
+compare_keys (gconstpointer a, gconstpointer b)
 {
   const struct mt_store_value *x = *(struct mt_store_value *const *) a;
   const struct mt_store_value *y = *(struct mt_store_value *const *) b;
@@ -123,9 +123,13 @@
   return strcmp (x->key, y->key);
 }
 
-/* A write whose answer was lost is settled by reading: the header tells whose batch it is. */
+/* Resolves a write with an unknown result by reading the key: the header shows whose batch it
+ * holds. */
 static enum mt_journal_result
-settle (struct mt_jobs_journal *journal, const char *key, const GString *value, GError **error)
+resolve_write (struct mt_jobs_journal *journal,
+               const char *key,
+               const GString *value,
+               GError **error)
 {
   struct mt_store_value found;
   enum mt_journal_result result = MT_JOURNAL_FAILED;
@@ -138,7 +142,8 @@
   else if (found.found)
     result = MT_JOURNAL_CONFLICT;
   else
-    g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "%s may still be written; load anew", key);
+    g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
+                 "the write of %s may still take effect; load the journal again", key);
   mt_store_value_clear (&found);
   return result;
 }
@@ -146,11 +151,11 @@
 static enum mt_journal_result
 write_batch (struct mt_jobs_journal *journal,
              uint64_t generation,
-             uint64_t number,
+             uint64_t seq,
              struct mt_str batch,
              GError **error)
 {
-  g_autofree char *key = batch_key (journal, generation, number);
+  g_autofree char *key = batch_key (journal, generation, seq);
   g_autoptr (GString) value = g_string_new (NULL);
 
   g_string_printf (value, "%016" G_GINT64_MODIFIER "x %016" G_GINT64_MODIFIER "x\n",
@@ -162,12 +167,13 @@
     case MT_STORE_DONE:
       return MT_JOURNAL_RECORDED;
     case MT_STORE_CONFLICT:
-      /* It may be one's own first try, repeated below us after its answer was lost. */
-      return settle (journal, key, value, error);
+      /* The conflict may be with this writer's own first attempt, retried by a lower layer after
+       * its answer was lost. */
+      return resolve_write (journal, key, value, error);
     case MT_STORE_FAILED:
       return MT_JOURNAL_FAILED;
     case MT_STORE_UNKNOWN:
-      return settle (journal, key, value, error);
+      return resolve_write (journal, key, value, error);
     }
   return MT_JOURNAL_FAILED;
 }
@@ -176,15 +182,16 @@
 mt_jobs_journal_append (struct mt_jobs_journal *journal, struct mt_str batch, GError **error)
 {
   enum mt_journal_result result
-      = write_batch (journal, journal->generation, journal->next, batch, error);
+      = write_batch (journal, journal->generation, journal->next_seq, batch, error);
 
   if (result == MT_JOURNAL_RECORDED)
-    journal->next++;
+    journal->next_seq++;
   return result;
 }
 
-/* The next generation, from the book as it stands: its first batch is created once, so that of all
- * who saw the seal one wins and the others load what it wrote. */
+/* Opens the next generation with a snapshot of the current state. Its first batch is created only
+ * if it does not exist, so one of all planners that saw the seal succeeds and the others load its
+ * snapshot. */
 static enum mt_journal_result
 open_generation (struct mt_jobs_journal *journal, const GString *snapshot, GError **error)
 {
@@ -194,7 +201,7 @@
   if (result != MT_JOURNAL_RECORDED)
     return result;
   journal->generation++;
-  journal->next = 1;
+  journal->next_seq = 1;
   return MT_JOURNAL_RECORDED;
 }
 
@@ -204,7 +211,7 @@
   g_autofree char *old
       = g_strdup_printf ("%s%010" G_GUINT64_FORMAT "/", journal->prefix, generation);
 
-  /* What is left of it by a failure is never read: the newer generation is. */
+  /* Keys left behind by a failure are never read, because the newer generation exists. */
   journal->store->ops->remove (journal->store->ctx, old, NULL);
 }
 
@@ -219,22 +226,21 @@
     {
       const struct mt_store_value *value = values->pdata[i];
       uint64_t generation;
-      uint64_t number;
+      uint64_t seq;
 
-      if (!parse_key (journal, value->key, &generation, &number)
-          || generation != journal->generation)
+      if (!parse_key (journal, value->key, &generation, &seq) || generation != journal->generation)
         continue;
       if (!replay_value (jobs, value, error))
         return false;
       *sealed = is_seal (value);
-      journal->next = number + 1;
+      journal->next_seq = seq + 1;
     }
   return true;
 }
 
-/* A seal at the end means that its writer died before the snapshot, or is only paused. Appending
- * after the seal would be lost when it wakes up and writes its snapshot: the generation is opened
- * here instead, and the late snapshot finds its place taken. */
+/* A seal at the end means that its writer died before it wrote the snapshot, or is only paused. A
+ * batch appended after the seal would be lost when that writer resumes and writes its snapshot. So
+ * the next generation is opened here, and the late snapshot fails with a conflict. */
 static bool
 finish_compaction (struct mt_jobs_journal *journal, struct mt_jobs *jobs, GError **error)
 {
@@ -245,7 +251,7 @@
     return true;
   if (error != NULL && *error == NULL)
     g_set_error (error, MT_ERROR, MT_ERROR_CONFLICT,
-                 "another planner opened the next generation; load anew");
+                 "another planner opened the next generation; load the journal again");
   return false;
 }
 
@@ -257,16 +263,16 @@
 
   if (!journal->store->ops->list (journal->store->ctx, journal->prefix, &values, error))
     return false;
-  g_ptr_array_sort (values, by_key);
+  g_ptr_array_sort (values, compare_keys);
   journal->generation = newest_generation (journal, values);
-  journal->next = 0;
+  journal->next_seq = 0;
   if (!replay_generation (journal, values, jobs, &sealed, error))
     return false;
   return !sealed || finish_compaction (journal, jobs, error);
 }
 
-/* The seal comes first: after it no rival can append to the old generation what the snapshot, taken
- * before, would not hold. */
+/* Writes the seal before the snapshot: after the seal no other planner can append a batch to the
+ * old generation that the snapshot, taken earlier, would miss. */
 enum mt_journal_result
 mt_jobs_journal_compact (struct mt_jobs_journal *journal, struct mt_jobs *jobs, GError **error)
 {
@@ -274,12 +280,12 @@
   uint64_t old = journal->generation;
   enum mt_journal_result result;
 
-  if (journal->next < COMPACT_AFTER)
+  if (journal->next_seq < COMPACT_AFTER_BATCHES)
     return MT_JOURNAL_RECORDED;
   mt_jobs_snapshot (jobs, snapshot);
-  if (snapshot->len > SNAPSHOT_BYTES)
+  if (snapshot->len > MAX_SNAPSHOT_BYTES)
     return MT_JOURNAL_RECORDED;
-  result = write_batch (journal, journal->generation, journal->next, MT_STR (SEAL), error);
+  result = write_batch (journal, journal->generation, journal->next_seq, MT_STR (SEAL), error);
   if (result != MT_JOURNAL_RECORDED)
     return result;
   result = open_generation (journal, snapshot, error);
--- a/core/jobs/placement.c
+++ b/core/jobs/placement.c
@@ -1,42 +1,45 @@
-/* The ways to choose among workers that have room. */
+/* Policies that choose among the workers with enough free resources. */
 #include "medlartrack/jobs.h"
 
-#define SAME_RACK_COST 0.05 /* of a worker's share, for each job of the kind in the rack */
+#define SAME_RACK_COST                                                                             \
+  0.05 /* per running job of the kind in the rack; 1.0: one resource all free */
 
 static double
-share_left (uint32_t room, uint32_t need, uint32_t size)
+remaining_share (uint32_t available, uint32_t need, uint32_t capacity)
 {
-  return size > 0 ? (double) (room - need) / size : 0.0;
+  return capacity > 0 ? (double) (available - need) / capacity : 0.0;
 }
 
-/* Tight fits keep large rooms free, racks are spread within a kind, accelerators are kept for those
- * who need them. */
+/* Prefers the tightest fit, which keeps large free capacity together and accelerators for jobs that
+ * need them, and spreads jobs of one kind over racks. */
 static double
-tight_cost (struct mt_job_resources size,
-            struct mt_job_resources room,
-            struct mt_job_resources need,
-            unsigned beside)
+best_fit_cost (struct mt_job_resources capacity,
+               struct mt_job_resources available,
+               struct mt_job_resources need,
+               unsigned same_rack)
 {
-  return share_left (room.cpu_milli, need.cpu_milli, size.cpu_milli)
-         + share_left (room.memory_mb, need.memory_mb, size.memory_mb)
-         + share_left (room.accelerators, need.accelerators, size.accelerators)
-         + beside * SAME_RACK_COST;
+  return remaining_share (available.cpu_milli, need.cpu_milli, capacity.cpu_milli)
+         + remaining_share (available.memory_mb, need.memory_mb, capacity.memory_mb)
+         + remaining_share (available.accelerators, need.accelerators, capacity.accelerators)
+         + same_rack * SAME_RACK_COST;
 }
 
 static double
-first_cost (struct mt_job_resources size,
-            struct mt_job_resources room,
-            struct mt_job_resources need,
-            unsigned beside)
+first_fit_cost (struct mt_job_resources capacity,
+                struct mt_job_resources available,
+                struct mt_job_resources need,
+                unsigned same_rack)
 {
   return 0.0;
 }
 
 static const struct mt_placement_policy placements[] = {
   { .name = "tight",
-    .description = "tightest fit, racks spread within a kind",
-    .cost = tight_cost },
-  { .name = "first", .description = "the first worker with room", .cost = first_cost },
+    .description = "tightest fit, jobs of one kind spread over racks",
+    .cost = best_fit_cost },
+  { .name = "first",
+    .description = "first worker with enough free resources",
+    .cost = first_fit_cost },
   { .name = NULL },
 };
 
--- a/core/jobs/plan.c
+++ b/core/jobs/plan.c
@@ -1,27 +1,28 @@
-/* One planning round: confirmations that are owed, relief, ageing, then placement by urgency. */
+/* One planning round: repeats unconfirmed requests, relieves overcommitted workers, ages waiting
+ * jobs, then places jobs by urgency. */
 #include "internal.h"
 
-/* Sizes that found no worker in this round: whatever is larger in the same pool won't either. */
-struct hopeless
+/* An estimate that fitted no worker in this round; larger ones in the same pool won't either. */
+struct unplaceable
 {
   const char *pool;
-  struct mt_job_resources size;
+  struct mt_job_resources resources;
 };
 
-struct round
+struct plan_round
 {
   struct mt_jobs *jobs;
   GArray *actions;
-  GArray *hopeless;
+  GArray *unplaceable;
   unsigned starts;
   int64_t now;
 };
 
 static void
-append (struct round *round, enum mt_job_action_kind kind, const struct mt_job *job)
+append_action (struct plan_round *round, enum mt_job_action_kind kind, const struct mt_job *job)
 {
   struct mt_job_action action
-      = { kind, job->name, job->worker->name, job->epoch, job->lease, job->taken };
+      = { kind, job->name, job->worker->name, job->epoch, job->lease, job->allocated };
 
   g_array_append_val (round->actions, action);
 }
@@ -40,62 +41,62 @@
     }
 }
 
-/* Stops come before checkpoints and fences: cancellations arrive in waves and free room. */
+/* Stops are sent before checkpoints and fences: cancellations come in bursts and free resources. */
 static void
-ask_for (struct round *round, bool stops)
+append_end_requests (struct plan_round *round, bool stops)
 {
   struct mt_jobs *jobs = round->jobs;
 
-  for (guint i = 0; i < jobs->asking->len; i++)
+  for (guint i = 0; i < jobs->end_requests->len; i++)
     {
-      struct mt_job *job = jobs->asking->pdata[i];
+      struct mt_job *job = jobs->end_requests->pdata[i];
 
       if ((job->state == MT_JOB_STOPPING) != stops)
         continue;
-      if (job->asked_us != 0 && round->now - job->asked_us < jobs->options.request_retry_us)
+      if (job->requested_us != 0 && round->now - job->requested_us < jobs->options.request_retry_us)
         continue;
-      job->asked_us = round->now;
-      append (round, action_for (job->state), job);
+      job->requested_us = round->now;
+      append_action (round, action_for (job->state), job);
     }
 }
 
 static void
-stop_strays (struct round *round)
+stop_orphans (struct plan_round *round)
 {
-  GArray *strays = round->jobs->strays;
+  GArray *orphans = round->jobs->orphans;
 
-  for (guint i = 0; i < strays->len; i++)
+  for (guint i = 0; i < orphans->len; i++)
     {
-      const struct mt_stray *stray = &g_array_index (strays, struct mt_stray, i);
-      const struct mt_worker *worker = mt_jobs_find_worker (round->jobs, stray->worker);
+      const struct mt_orphan *orphan = &g_array_index (orphans, struct mt_orphan, i);
+      const struct mt_worker *worker = mt_jobs_find_worker (round->jobs, orphan->worker);
       struct mt_job_action action
-          = { MT_JOB_STOP,  g_intern_string (stray->job),       g_intern_string (stray->worker),
-              stray->epoch, worker != NULL ? worker->lease : 0, { 0, 0, 0 } };
+          = { MT_JOB_STOP,   g_intern_string (orphan->job),      g_intern_string (orphan->worker),
+              orphan->epoch, worker != NULL ? worker->lease : 0, { 0, 0, 0 } };
 
       g_array_append_val (round->actions, action);
     }
-  g_array_set_size (strays, 0);
+  g_array_set_size (orphans, 0);
 }
 
-/* A start that nobody confirms may have been lost on its way, or its answer was. */
+/* The start action of an unreported job, or the worker's answer, may have been lost. */
 static void
-give_up_unreported (struct round *round)
+fence_unconfirmed_starts (struct plan_round *round)
 {
   struct mt_jobs *jobs = round->jobs;
   struct mt_job *job;
 
-  while ((job = g_queue_peek_head (&jobs->unreported)) != NULL
+  while ((job = g_queue_peek_head (&jobs->unconfirmed)) != NULL
          && round->now - job->started_us >= jobs->options.start_timeout_us)
     {
-      g_queue_pop_head (&jobs->unreported);
-      job->reported = true;
+      g_queue_pop_head (&jobs->unconfirmed);
+      job->confirmed = true;
       if (job->state == MT_JOB_RUNNING)
         mt_jobs_request_end (jobs, job, MT_JOB_FENCING);
     }
 }
 
 static void
-promote_aged (struct round *round, enum mt_urgency urgency)
+promote_aged (struct plan_round *round, enum mt_urgency urgency)
 {
   struct mt_jobs *jobs = round->jobs;
   GQueue *queue = &jobs->waiting[urgency];
@@ -111,7 +112,7 @@
 }
 
 static void
-mark_aged_urgent (struct round *round)
+mark_aged_urgent (struct plan_round *round)
 {
   struct mt_jobs *jobs = round->jobs;
 
@@ -125,23 +126,26 @@
     }
 }
 
-/* What the job would take of this worker: its estimate, cut to the worker where only the headroom
- * does not fit. False where even the floor does not. */
+/* Sets need to the resources that the job would use on the worker: its estimate, capped at the
+ * worker's capacity if only the headroom does not fit. Returns false if even the minimum does not
+ * fit. */
 static bool
-need_on (const struct mt_job *job, const struct mt_worker *worker, struct mt_job_resources *need)
+resources_needed_on (const struct mt_job *job,
+                     const struct mt_worker *worker,
+                     struct mt_job_resources *need)
 {
   struct mt_job_resources estimate = mt_job_kind_estimate (job->kind, job->declared);
 
-  if (!mt_job_resources_fit (mt_job_kind_minimum (job->kind, job->declared), worker->size))
+  if (!mt_job_resources_fit (mt_job_kind_minimum (job->kind, job->declared), worker->capacity))
     return false;
-  need->cpu_milli = MIN (estimate.cpu_milli, worker->size.cpu_milli);
-  need->memory_mb = MIN (estimate.memory_mb, worker->size.memory_mb);
+  need->cpu_milli = MIN (estimate.cpu_milli, worker->capacity.cpu_milli);
+  need->memory_mb = MIN (estimate.memory_mb, worker->capacity.memory_mb);
   need->accelerators = estimate.accelerators;
   return true;
 }
 
 static GPtrArray *
-workers_of (const struct mt_jobs *jobs, const char *pool)
+workers_in_pool (const struct mt_jobs *jobs, const char *pool)
 {
   const struct mt_pool_workers *found = g_hash_table_lookup (jobs->pools, pool);
 
@@ -151,39 +155,40 @@
 static bool
 may_start_on (struct mt_jobs *jobs, const struct mt_job *job, struct mt_worker *worker)
 {
-  /* A hold ends with its job's wait, however that ended. */
-  if (worker->held_for != NULL && worker->held_for->state != MT_JOB_WAITING)
-    worker->held_for = NULL;
+  /* A reservation ends when its job stops waiting, for whatever reason. */
+  if (worker->reserved_for != NULL && worker->reserved_for->state != MT_JOB_WAITING)
+    worker->reserved_for = NULL;
   return mt_worker_accepts_tasks (jobs, worker)
-         && (worker->held_for == NULL || worker->held_for == job)
+         && (worker->reserved_for == NULL || worker->reserved_for == job)
          && !g_ptr_array_find (job->failed_on, worker, NULL);
 }
 
 static unsigned
-running_beside (const struct mt_job *job, const struct mt_worker *worker)
+running_in_rack (const struct mt_job *job, const struct mt_worker *worker)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (job->kind->per_rack, worker->rack));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (job->kind->running_per_rack, worker->rack));
 }
 
 static struct mt_worker *
-find_room (struct mt_jobs *jobs, const struct mt_job *job, struct mt_job_resources *need)
+pick_worker (struct mt_jobs *jobs, const struct mt_job *job, struct mt_job_resources *need)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
   struct mt_worker *best = NULL;
   double best_cost = 0;
 
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       struct mt_worker *worker = workers->pdata[i];
-      struct mt_job_resources room = mt_job_resources_sub (worker->size, worker->taken);
+      struct mt_job_resources available
+          = mt_job_resources_sub (worker->capacity, worker->allocated);
       struct mt_job_resources wanted;
       double cost;
 
-      if (!need_on (job, worker, &wanted) || !mt_job_resources_fit (wanted, room)
+      if (!resources_needed_on (job, worker, &wanted) || !mt_job_resources_fit (wanted, available)
           || !may_start_on (jobs, job, worker) || (job->suspect && worker->tasks->len > 0))
         continue;
-      cost = jobs->options.placement->cost (worker->size, room, wanted,
-                                            running_beside (job, worker));
+      cost = jobs->options.placement->cost (worker->capacity, available, wanted,
+                                            running_in_rack (job, worker));
       if (best != NULL && cost >= best_cost)
         continue;
       best = worker;
@@ -194,85 +199,86 @@
 }
 
 static void
-release_hold (struct mt_jobs *jobs, const struct mt_job *job)
+release_reservation (struct mt_jobs *jobs, const struct mt_job *job)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
 
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       struct mt_worker *worker = workers->pdata[i];
 
-      if (worker->held_for == job)
-        worker->held_for = NULL;
+      if (worker->reserved_for == job)
+        worker->reserved_for = NULL;
     }
 }
 
 static void
-start (struct round *round,
-       struct mt_job *job,
-       struct mt_worker *worker,
-       struct mt_job_resources need)
+start_job (struct plan_round *round,
+           struct mt_job *job,
+           struct mt_worker *worker,
+           struct mt_job_resources need)
 {
   struct mt_jobs *jobs = round->jobs;
 
-  release_hold (jobs, job);
+  release_reservation (jobs, job);
   mt_jobs_allocate (job, worker, need);
   job->epoch++;
   job->started_us = round->now;
-  job->reported = false;
-  g_queue_push_tail (&jobs->unreported, job);
+  job->confirmed = false;
+  g_queue_push_tail (&jobs->unconfirmed, job);
   mt_jobs_set_state (jobs, job, MT_JOB_RUNNING);
-  append (round, MT_JOB_START, job);
+  append_action (round, MT_JOB_START, job);
   round->starts++;
 }
 
-/* Whether a running task has to yield to a waiting urgent one, whose team is within its quota. What
- * is aged is never taken back: that is what bounds the time until a background job ends. */
+/* Whether a running task may be preempted for a waiting urgent job whose team is within its quota.
+ * Aged tasks are never preempted: this bounds the time until a background job ends. */
 static bool
-must_yield (const struct mt_job *task, const struct mt_job *to)
+is_preemptible (const struct mt_job *task, const struct mt_job *to)
 {
   if (task->state != MT_JOB_RUNNING || task->aged)
     return false;
   return task->urgency > MT_URGENCY_URGENT || (task->borrowed && task->team != to->team);
 }
 
-/* The room there would be once all that must yield has, and how many tasks that are. */
+/* Sets available to the worker's free resources once all preemptible tasks have ended; returns how
+ * many would have to be preempted. */
 static unsigned
-room_after_yield (const struct mt_worker *worker,
-                  const struct mt_job *job,
-                  struct mt_job_resources *room)
+available_after_preemption (const struct mt_worker *worker,
+                            const struct mt_job *job,
+                            struct mt_job_resources *available)
 {
-  unsigned yielding = 0;
+  unsigned preempted = 0;
 
-  *room = mt_job_resources_sub (worker->size, worker->taken);
+  *available = mt_job_resources_sub (worker->capacity, worker->allocated);
   for (guint i = 0; i < worker->tasks->len; i++)
     {
       const struct mt_job *task = worker->tasks->pdata[i];
 
-      /* Those that yield already count as room, but not as a cost. */
-      if (task->state != MT_JOB_CHECKPOINTING && !must_yield (task, job))
+      /* Tasks already checkpointing free their resources, but don't count as preempted. */
+      if (task->state != MT_JOB_CHECKPOINTING && !is_preemptible (task, job))
         continue;
-      *room = mt_job_resources_add (*room, task->taken);
-      yielding += task->state == MT_JOB_RUNNING;
+      *available = mt_job_resources_add (*available, task->allocated);
+      preempted += task->state == MT_JOB_RUNNING;
     }
-  return yielding;
+  return preempted;
 }
 
 static struct mt_worker *
-find_yielding (struct mt_jobs *jobs, const struct mt_job *job)
+pick_worker_to_preempt (struct mt_jobs *jobs, const struct mt_job *job)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
   struct mt_worker *best = NULL;
   unsigned best_cost = 0;
 
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       struct mt_worker *worker = workers->pdata[i];
-      struct mt_job_resources room;
+      struct mt_job_resources available;
       struct mt_job_resources need;
-      unsigned cost = room_after_yield (worker, job, &room);
+      unsigned cost = available_after_preemption (worker, job, &available);
 
-      if (!need_on (job, worker, &need) || !mt_job_resources_fit (need, room)
+      if (!resources_needed_on (job, worker, &need) || !mt_job_resources_fit (need, available)
           || !may_start_on (jobs, job, worker))
         continue;
       if (best != NULL && cost >= best_cost)
@@ -283,57 +289,57 @@
   return best;
 }
 
-/* Asks tasks to yield, the least urgent first, until the job would fit. */
+/* Requests checkpoints, least urgent tasks first, until the job would fit. */
 static void
-take_back (struct mt_jobs *jobs, struct mt_job *job, struct mt_worker *worker)
+preempt_tasks (struct mt_jobs *jobs, struct mt_job *job, struct mt_worker *worker)
 {
-  struct mt_job_resources room = mt_job_resources_sub (worker->size, worker->taken);
+  struct mt_job_resources available = mt_job_resources_sub (worker->capacity, worker->allocated);
   struct mt_job_resources need;
 
-  if (!need_on (job, worker, &need))
+  if (!resources_needed_on (job, worker, &need))
     return;
-  worker->held_for = job;
+  worker->reserved_for = job;
   for (guint i = 0; i < worker->tasks->len; i++)
     {
       const struct mt_job *task = worker->tasks->pdata[i];
 
       if (task->state == MT_JOB_CHECKPOINTING)
-        room = mt_job_resources_add (room, task->taken);
+        available = mt_job_resources_add (available, task->allocated);
     }
   for (int urgency = MT_URGENCY_BACKGROUND; urgency >= MT_URGENCY_URGENT; urgency--)
-    for (guint i = 0; i < worker->tasks->len && !mt_job_resources_fit (need, room); i++)
+    for (guint i = 0; i < worker->tasks->len && !mt_job_resources_fit (need, available); i++)
       {
         struct mt_job *task = worker->tasks->pdata[i];
 
-        if ((int) task->urgency != urgency || !must_yield (task, job))
+        if ((int) task->urgency != urgency || !is_preemptible (task, job))
           continue;
-        room = mt_job_resources_add (room, task->taken);
+        available = mt_job_resources_add (available, task->allocated);
         mt_jobs_request_end (jobs, task, MT_JOB_CHECKPOINTING);
       }
 }
 
 static bool
-holds_a_worker (struct mt_jobs *jobs, const struct mt_job *job)
+has_reserved_worker (struct mt_jobs *jobs, const struct mt_job *job)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
 
   for (guint i = 0; workers != NULL && i < workers->len; i++)
     {
       const struct mt_worker *worker = workers->pdata[i];
 
-      if (worker->held_for == job && !worker->lost && !worker->draining)
+      if (worker->reserved_for == job && !worker->lease_lost && !worker->draining)
         return true;
     }
   return false;
 }
 
-/* Keeps the worker that will have room soonest for a job that has waited too long: else a stream of
- * small urgent jobs would take each bit of room as it comes free, and the large one never starts.
- */
+/* Reserves a worker for an aged job: the fitting one with the fewest tasks. Otherwise a stream of
+ * small urgent jobs would take all resources as they become free, and a large job would never
+ * start. */
 static void
-hold_for_aged (struct mt_jobs *jobs, struct mt_job *job)
+reserve_worker (struct mt_jobs *jobs, struct mt_job *job)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
   struct mt_worker *best = NULL;
   struct mt_job_resources need;
 
@@ -341,32 +347,32 @@
     {
       struct mt_worker *worker = workers->pdata[i];
 
-      if (!need_on (job, worker, &need) || !may_start_on (jobs, job, worker))
+      if (!resources_needed_on (job, worker, &need) || !may_start_on (jobs, job, worker))
         continue;
       if (best == NULL || worker->tasks->len < best->tasks->len)
         best = worker;
     }
   if (best != NULL)
-    best->held_for = job;
+    best->reserved_for = job;
 }
 
 static bool
-fits_somewhere (const struct mt_jobs *jobs, const struct mt_job *job)
+fits_any_worker (const struct mt_jobs *jobs, const struct mt_job *job)
 {
-  GPtrArray *workers = workers_of (jobs, job->pool);
+  GPtrArray *workers = workers_in_pool (jobs, job->pool);
   struct mt_job_resources need;
 
-  /* A pool without workers may get some: that is no judgement on the job. */
+  /* An empty pool may still get workers, so it says nothing about the job. */
   if (workers == NULL || workers->len == 0)
     return true;
   for (guint i = 0; i < workers->len; i++)
-    if (need_on (job, workers->pdata[i], &need))
+    if (resources_needed_on (job, workers->pdata[i], &need))
       return true;
   return false;
 }
 
 static void
-give_up_on (struct mt_jobs *jobs, struct mt_job *job)
+mark_unschedulable (struct mt_jobs *jobs, struct mt_job *job)
 {
   struct mt_job_resources need = mt_job_kind_minimum (job->kind, job->declared);
 
@@ -374,70 +380,70 @@
   job->reason = g_strdup_printf ("needs %u thousandths of a processor, %u MB and %u accelerators; "
                                  "no worker of pool %s has that",
                                  need.cpu_milli, need.memory_mb, need.accelerators, job->pool);
-  job->never_at = jobs->generation;
-  release_hold (jobs, job);
+  job->checked_generation = jobs->generation;
+  release_reservation (jobs, job);
   mt_jobs_set_state (jobs, job, MT_JOB_UNSCHEDULABLE);
 }
 
 static bool
-is_hopeless (const struct round *round, const struct mt_job *job)
+is_unplaceable (const struct plan_round *round, const struct mt_job *job)
 {
-  struct mt_job_resources size = mt_job_kind_estimate (job->kind, job->declared);
+  struct mt_job_resources resources = mt_job_kind_estimate (job->kind, job->declared);
 
-  for (guint i = 0; i < round->hopeless->len; i++)
+  for (guint i = 0; i < round->unplaceable->len; i++)
     {
-      const struct hopeless *h = &g_array_index (round->hopeless, struct hopeless, i);
+      const struct unplaceable *h = &g_array_index (round->unplaceable, struct unplaceable, i);
 
-      if (g_str_equal (h->pool, job->pool) && mt_job_resources_fit (h->size, size))
+      if (g_str_equal (h->pool, job->pool) && mt_job_resources_fit (h->resources, resources))
         return true;
     }
   return false;
 }
 
 static void
-note_hopeless (struct round *round, const struct mt_job *job)
+record_unplaceable (struct plan_round *round, const struct mt_job *job)
 {
-  struct hopeless h = { job->pool, mt_job_kind_estimate (job->kind, job->declared) };
+  struct unplaceable h = { job->pool, mt_job_kind_estimate (job->kind, job->declared) };
 
-  /* What failed elsewhere or waits for a held worker says nothing of other jobs. */
+  /* A job is barred from workers that it failed on, so it says nothing about other jobs. */
   if (job->failed_on->len == 0)
-    g_array_append_val (round->hopeless, h);
+    g_array_append_val (round->unplaceable, h);
 }
 
-/* True where the job has left the queue. */
+/* Returns true if the job must leave the queue. */
 static bool
-try_place (struct round *round, struct mt_job *job, bool urgent)
+try_place (struct plan_round *round, struct mt_job *job, bool urgent)
 {
   struct mt_jobs *jobs = round->jobs;
   struct mt_job_resources need;
   struct mt_worker *worker;
 
-  if (!job->aged && !urgent && is_hopeless (round, job))
+  if (!job->aged && !urgent && is_unplaceable (round, job))
     return false;
-  worker = find_room (jobs, job, &need);
+  worker = pick_worker (jobs, job, &need);
   if (worker != NULL)
     {
-      start (round, job, worker, need);
+      start_job (round, job, worker, need);
       return true;
     }
-  if (!fits_somewhere (jobs, job))
+  if (!fits_any_worker (jobs, job))
     {
-      give_up_on (jobs, job);
+      mark_unschedulable (jobs, job);
       return true;
     }
-  note_hopeless (round, job);
-  if (!urgent || holds_a_worker (jobs, job))
+  record_unplaceable (round, job);
+  if (!urgent || has_reserved_worker (jobs, job))
     return false;
   if (mt_team_within_quota (job->team, mt_job_kind_estimate (job->kind, job->declared))
-      && (worker = find_yielding (jobs, job)) != NULL)
-    take_back (jobs, job, worker);
+      && (worker = pick_worker_to_preempt (jobs, job)) != NULL)
+    preempt_tasks (jobs, job, worker);
   else if (job->aged)
-    hold_for_aged (jobs, job);
+    reserve_worker (jobs, job);
   return false;
 }
 
 static void
-place_queue (struct round *round, enum mt_urgency urgency)
+place_queue (struct plan_round *round, enum mt_urgency urgency)
 {
   GQueue *queue = &round->jobs->waiting[urgency];
   GList *link = queue->head;
@@ -452,9 +458,9 @@
     }
 }
 
-/* The fleet changed: jobs that nobody had room for are judged anew. */
+/* Checks unschedulable jobs again after workers were added or changed. */
 static void
-reconsider_never (struct mt_jobs *jobs)
+recheck_unschedulable (struct mt_jobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
@@ -464,10 +470,10 @@
     {
       struct mt_job *job = value;
 
-      if (job->state != MT_JOB_UNSCHEDULABLE || job->never_at == jobs->generation)
+      if (job->state != MT_JOB_UNSCHEDULABLE || job->checked_generation == jobs->generation)
         continue;
-      job->never_at = jobs->generation;
-      if (!fits_somewhere (jobs, job))
+      job->checked_generation = jobs->generation;
+      if (!fits_any_worker (jobs, job))
         continue;
       g_clear_pointer (&job->reason, g_free);
       mt_jobs_set_state (jobs, job, MT_JOB_WAITING);
@@ -478,25 +484,25 @@
 void
 mt_jobs_plan (struct mt_jobs *jobs, GArray *actions)
 {
-  struct round round = { .jobs = jobs, .actions = actions, .now = mt_clock_now (jobs->clock) };
+  struct plan_round round = { .jobs = jobs, .actions = actions, .now = mt_clock_now (jobs->clock) };
 
-  round.hopeless = g_array_new (FALSE, FALSE, sizeof (struct hopeless));
-  ask_for (&round, true);
-  stop_strays (&round);
-  give_up_unreported (&round);
+  round.unplaceable = g_array_new (FALSE, FALSE, sizeof (struct unplaceable));
+  append_end_requests (&round, true);
+  stop_orphans (&round);
+  fence_unconfirmed_starts (&round);
   mt_jobs_relieve_overcommitted (jobs, actions);
   mt_teams_update_borrowed (jobs);
-  if (jobs->judged_at != jobs->generation)
-    reconsider_never (jobs);
-  jobs->judged_at = jobs->generation;
+  if (jobs->checked_at_generation != jobs->generation)
+    recheck_unschedulable (jobs);
+  jobs->checked_at_generation = jobs->generation;
   promote_aged (&round, MT_URGENCY_NORMAL);
   promote_aged (&round, MT_URGENCY_BACKGROUND);
   mark_aged_urgent (&round);
   for (int urgency = 0; urgency < MT_URGENCY_COUNT; urgency++)
     {
       place_queue (&round, (enum mt_urgency) urgency);
-      g_array_set_size (round.hopeless, 0);
+      g_array_set_size (round.unplaceable, 0);
     }
-  ask_for (&round, false);
-  g_array_unref (round.hopeless);
+  append_end_requests (&round, false);
+  g_array_unref (round.unplaceable);
 }
--- a/core/jobs/quarantine.c
+++ b/core/jobs/quarantine.c
@@ -1,10 +1,11 @@
-/* Workers that fail everything they start are set aside on evidence over several jobs, and tried
- * again later with one. A job that fails everywhere is no evidence against the workers it met. */
+/* Quarantine: a worker on which several different jobs fail in a row gets no jobs for a while, then
+ * one at a time until one succeeds. Failures of a job that fails on every worker don't count
+ * against the workers. */
 #include "internal.h"
 
 #include <string.h>
 
-#define MAX_RELAPSE_DOUBLINGS 6
+#define MAX_QUARANTINE_DOUBLINGS 6
 
 static bool
 has_name (const GPtrArray *names, const char *name)
@@ -18,19 +19,19 @@
 static void
 quarantine (struct mt_jobs *jobs, struct mt_worker *worker)
 {
-  unsigned doublings = MIN (worker->relapses, MAX_RELAPSE_DOUBLINGS);
+  unsigned doublings = MIN (worker->quarantine_count, MAX_QUARANTINE_DOUBLINGS);
 
   worker->quarantined_until_us
       = mt_clock_now (jobs->clock) + (jobs->options.quarantine_us << doublings);
-  worker->relapses++;
+  worker->quarantine_count++;
   worker->probation = true;
   g_ptr_array_set_size (worker->failures, 0);
 }
 
-/* One bad job retried on the same few workers must not set them all aside: its failures are taken
- * back from every worker once it is known bad. */
+/* Removes a job's failures from its workers once it is known to fail everywhere: one such job,
+ * retried on the same few workers, must not put them all in quarantine. */
 static void
-forgive (struct mt_job *job)
+clear_job_failures (struct mt_job *job)
 {
   for (guint i = 0; i < job->failed_on->len; i++)
     {
@@ -49,7 +50,7 @@
     g_ptr_array_add (job->failed_on, worker);
   if (mt_job_failed_workers (job) >= jobs->options.poison_threshold)
     {
-      forgive (job);
+      clear_job_failures (job);
       return;
     }
   if (!has_name (worker->failures, job->name))
@@ -61,7 +62,7 @@
 unsigned
 mt_job_failed_workers (const struct mt_job *job)
 {
-  return job->failed_on->len + job->failed_before;
+  return job->failed_on->len + job->failed_before_replay;
 }
 
 bool
@@ -72,7 +73,9 @@
 }
 
 static bool
-is_alone (const struct mt_jobs *jobs, const struct mt_worker *worker, const struct mt_job *job)
+has_no_other_suspect (const struct mt_jobs *jobs,
+                      const struct mt_worker *worker,
+                      const struct mt_job *job)
 {
   for (guint i = 0; i < worker->tasks->len; i++)
     if (worker->tasks->pdata[i] != job && mt_job_is_isolated (jobs, worker->tasks->pdata[i]))
@@ -80,14 +83,16 @@
   return true;
 }
 
-/* What ran for longer was not the cause, nor what stands beside a suspect: that one is. */
+/* A job that ran for crash_window_us or longer is not taken as the cause of a crash, nor is one
+ * that ran beside a suspect: the suspect is. */
 void
 mt_worker_record_crash (struct mt_jobs *jobs, struct mt_worker *worker, struct mt_job *job)
 {
-  int64_t lost_us = worker->lost_us != 0 ? worker->lost_us : mt_clock_now (jobs->clock);
+  int64_t lease_lost_us
+      = worker->lease_lost_us != 0 ? worker->lease_lost_us : mt_clock_now (jobs->clock);
 
-  if (!job->reported || lost_us - job->started_us >= jobs->options.crash_window_us
-      || !is_alone (jobs, worker, job))
+  if (!job->confirmed || lease_lost_us - job->started_us >= jobs->options.crash_window_us
+      || !has_no_other_suspect (jobs, worker, job))
     return;
   job->suspect = true;
   if (!g_ptr_array_find (job->failed_on, worker, NULL))
@@ -99,13 +104,13 @@
 {
   g_ptr_array_set_size (worker->failures, 0);
   worker->probation = false;
-  worker->relapses = 0;
+  worker->quarantine_count = 0;
 }
 
 bool
 mt_worker_accepts_tasks (struct mt_jobs *jobs, struct mt_worker *worker)
 {
-  if (worker->draining || worker->lost)
+  if (worker->draining || worker->lease_lost)
     return false;
   if (worker->quarantined_until_us != 0)
     {
--- a/core/jobs/quota.c
+++ b/core/jobs/quota.c
@@ -1,23 +1,24 @@
-/* Quotas by team: idle room is lent beyond the quota, and what is borrowed can be taken back. */
+/* Team quotas: idle resources are lent beyond a team's quota, and borrowed ones can be reclaimed by
+ * preemption. */
 #include "internal.h"
 
 bool
 mt_team_within_quota (const struct mt_team *team, struct mt_job_resources more)
 {
-  struct mt_job_resources owned = mt_job_resources_sub (team->held, team->borrowed);
+  struct mt_job_resources owned = mt_job_resources_sub (team->in_use, team->borrowed);
 
   return mt_job_resources_fit (mt_job_resources_add (owned, more), team->quota);
 }
 
 void
-mt_team_allocate (struct mt_job *job, struct mt_job_resources size)
+mt_team_allocate (struct mt_job *job, struct mt_job_resources resources)
 {
   struct mt_team *team = job->team;
 
-  job->borrowed = !mt_team_within_quota (team, size);
-  team->held = mt_job_resources_add (team->held, size);
+  job->borrowed = !mt_team_within_quota (team, resources);
+  team->in_use = mt_job_resources_add (team->in_use, resources);
   if (job->borrowed)
-    team->borrowed = mt_job_resources_add (team->borrowed, size);
+    team->borrowed = mt_job_resources_add (team->borrowed, resources);
   g_ptr_array_add (team->tasks, job);
 }
 
@@ -26,24 +27,24 @@
 {
   struct mt_team *team = job->team;
 
-  team->held = mt_job_resources_sub (team->held, job->taken);
+  team->in_use = mt_job_resources_sub (team->in_use, job->allocated);
   if (job->borrowed)
-    team->borrowed = mt_job_resources_sub (team->borrowed, job->taken);
+    team->borrowed = mt_job_resources_sub (team->borrowed, job->allocated);
   job->borrowed = false;
   g_ptr_array_remove_fast (team->tasks, job);
 }
 
 static void
-settle_team (struct mt_team *team)
+update_team_borrowed (struct mt_team *team)
 {
   for (guint i = 0; i < team->tasks->len; i++)
     {
       struct mt_job *job = team->tasks->pdata[i];
 
-      if (!job->borrowed || !mt_team_within_quota (team, job->taken))
+      if (!job->borrowed || !mt_team_within_quota (team, job->allocated))
         continue;
       job->borrowed = false;
-      team->borrowed = mt_job_resources_sub (team->borrowed, job->taken);
+      team->borrowed = mt_job_resources_sub (team->borrowed, job->allocated);
     }
 }
 
@@ -59,6 +60,6 @@
       struct mt_team *team = value;
 
       if (team->borrowed.cpu_milli + team->borrowed.memory_mb + team->borrowed.accelerators > 0)
-        settle_team (team);
+        update_team_borrowed (team);
     }
 }
--- a/core/jobs/record.c
+++ b/core/jobs/record.c
@@ -1,6 +1,7 @@
-/* What must last of the book: one entry [name, state, epoch, worker or nil, lease] for each job
- * whose state changed, and for one that workers failed or went down with how many did. A planner
- * that takes over replays the entries over the declared jobs. */
+/* Durable records of the scheduler state: one entry [name, state, epoch, worker or nil, lease] for
+ * each job whose state changed, with a sixth field, the number of workers that it failed on or
+ * crashed, if there are any. A planner that takes over replays the entries over the declared
+ * jobs. */
 #include "internal.h"
 
 #include "medlartrack/error.h"
@@ -8,10 +9,10 @@
 #include <msgpack.h>
 #include <string.h>
 
-#define RECORD_VERSION    1
-#define ENTRY_FIELDS      5
-#define ENTRY_FIELDS_BAD  6
-#define MAX_RECORDED_NAME 200
+#define RECORD_VERSION             1
+#define ENTRY_FIELDS               5
+#define ENTRY_FIELDS_WITH_FAILURES 6
+#define MAX_RECORDED_NAME          200
 
 struct entry
 {
@@ -20,7 +21,7 @@
   enum mt_job_state state;
   uint64_t epoch;
   uint64_t lease;
-  uint64_t bad_workers;
+  uint64_t failed_workers;
 };
 
 static int
@@ -53,9 +54,9 @@
 static void
 pack_entry (msgpack_packer *pk, const struct mt_job *job)
 {
-  unsigned bad_workers = mt_job_failed_workers (job);
+  unsigned failed_workers = mt_job_failed_workers (job);
 
-  msgpack_pack_array (pk, bad_workers > 0 ? ENTRY_FIELDS_BAD : ENTRY_FIELDS);
+  msgpack_pack_array (pk, failed_workers > 0 ? ENTRY_FIELDS_WITH_FAILURES : ENTRY_FIELDS);
   pack_text (pk, job->name);
   msgpack_pack_int (pk, (int) job->state);
   msgpack_pack_uint64 (pk, job->epoch);
@@ -64,8 +65,8 @@
   else
     msgpack_pack_nil (pk);
   msgpack_pack_uint64 (pk, job->lease);
-  if (bad_workers > 0)
-    msgpack_pack_uint64 (pk, bad_workers);
+  if (failed_workers > 0)
+    msgpack_pack_uint64 (pk, failed_workers);
 }
 
 static bool
@@ -95,10 +96,12 @@
 
   *entry = (struct entry){ 0 };
   if (object->type != MSGPACK_OBJECT_ARRAY
-      || (object->via.array.size != ENTRY_FIELDS && object->via.array.size != ENTRY_FIELDS_BAD))
+      || (object->via.array.size != ENTRY_FIELDS
+          && object->via.array.size != ENTRY_FIELDS_WITH_FAILURES))
     return false;
   fields = object->via.array.ptr;
-  if (object->via.array.size == ENTRY_FIELDS_BAD && !read_number (&fields[5], &entry->bad_workers))
+  if (object->via.array.size == ENTRY_FIELDS_WITH_FAILURES
+      && !read_number (&fields[5], &entry->failed_workers))
     return false;
   if (!read_text (&fields[0], entry->name) || !read_number (&fields[1], &state)
       || state > MT_JOB_POISON || !read_number (&fields[2], &entry->epoch)
@@ -109,16 +112,16 @@
 }
 
 static bool
-holds_worker (enum mt_job_state state)
+occupies_worker (enum mt_job_state state)
 {
   return state == MT_JOB_RUNNING || state == MT_JOB_CHECKPOINTING || state == MT_JOB_FENCING
          || state == MT_JOB_STOPPING;
 }
 
-/* A worker that the record names and the platform does not: it may still run, so it stands as lost
- * until the platform says otherwise. */
+/* A worker that is in a record but unknown to the platform may still run its task, so it counts as
+ * lost until the platform reports it. */
 static struct mt_worker *
-need_worker (struct mt_jobs *jobs, const struct entry *entry)
+get_or_create_worker (struct mt_jobs *jobs, const struct entry *entry)
 {
   struct mt_worker_spec spec = { entry->worker, "", "", { 0, 0, 0 }, entry->lease };
   struct mt_worker *worker = mt_jobs_find_worker (jobs, entry->worker);
@@ -127,12 +130,12 @@
     return worker;
   mt_jobs_set_worker (jobs, &spec);
   worker = mt_jobs_find_worker (jobs, entry->worker);
-  worker->lost = true;
+  worker->lease_lost = true;
   return worker;
 }
 
 static void
-leave_queue (struct mt_jobs *jobs, struct mt_job *job)
+dequeue (struct mt_jobs *jobs, struct mt_job *job)
 {
   if (job->state == MT_JOB_WAITING)
     g_queue_remove (&jobs->waiting[job->aged ? MT_URGENCY_URGENT : job->urgency], job);
@@ -141,40 +144,40 @@
 static void
 restore_on_worker (struct mt_jobs *jobs, struct mt_job *job, const struct entry *entry)
 {
-  struct mt_worker *worker = need_worker (jobs, entry);
+  struct mt_worker *worker = get_or_create_worker (jobs, entry);
 
   mt_jobs_allocate (job, worker, mt_job_kind_estimate (job->kind, job->declared));
   job->lease = entry->lease;
   job->started_us = mt_clock_now (jobs->clock);
-  /* The former planner may have died between the record and the start: until the worker reports the
-   * epoch it counts as unconfirmed, and is fenced when it stays so. */
-  job->reported = false;
-  g_queue_push_tail (&jobs->unreported, job);
+  /* The former planner may have died between recording the start and sending it. The job counts as
+   * unconfirmed until the worker reports the epoch, and is fenced after start_timeout_us. */
+  job->confirmed = false;
+  g_queue_push_tail (&jobs->unconfirmed, job);
   if (entry->state != MT_JOB_RUNNING)
     mt_jobs_request_end (jobs, job, entry->state);
-  /* The worker started anew since: nothing of that lease runs now. */
+  /* The worker has restarted since: no task of the recorded lease is running. */
   if (worker->lease > entry->lease)
     mt_jobs_requeue (jobs, job);
-  else if (worker->lost && job->state == MT_JOB_RUNNING)
+  else if (worker->lease_lost && job->state == MT_JOB_RUNNING)
     mt_jobs_request_end (jobs, job, MT_JOB_FENCING);
 }
 
 static void
 restore (struct mt_jobs *jobs, struct mt_job *job, const struct entry *entry)
 {
-  leave_queue (jobs, job);
+  dequeue (jobs, job);
   if (job->worker != NULL)
     {
-      g_ptr_array_remove_fast (jobs->asking, job);
-      g_queue_remove (&jobs->unreported, job);
+      g_ptr_array_remove_fast (jobs->end_requests, job);
+      g_queue_remove (&jobs->unconfirmed, job);
       mt_jobs_release (job);
     }
   job->epoch = MAX (job->epoch, entry->epoch);
   job->state = entry->state;
-  job->failed_before = (unsigned) MIN (entry->bad_workers, G_MAXUINT / 2);
-  job->suspect = job->failed_before > 0;
+  job->failed_before_replay = (unsigned) MIN (entry->failed_workers, G_MAXUINT / 2);
+  job->suspect = job->failed_before_replay > 0;
   g_ptr_array_set_size (job->failed_on, 0);
-  if (holds_worker (entry->state))
+  if (occupies_worker (entry->state))
     restore_on_worker (jobs, job, entry);
   else if (entry->state == MT_JOB_WAITING)
     mt_jobs_enqueue (jobs, job);
--- a/core/jobs/relief.c
+++ b/core/jobs/relief.c
@@ -1,12 +1,13 @@
-/* A wrong size overcommits a worker: its jobs use more than it has. It is relieved before it fails:
- * processors by throttling, memory by a checkpoint, the least urgent and borrowed ones first. */
+/* Relief of overcommitted workers: if an estimate was too low, jobs use more than their worker has.
+ * Before the worker fails, CPU use is reduced by throttling a job and memory use by checkpointing
+ * one; least urgent and borrowed jobs come first. */
 #include "internal.h"
 
-/* Memory can't be throttled: relief starts before the last tenth is gone. */
+/* Memory can't be throttled, so relief starts before the last tenth is used. */
 #define MEMORY_RELIEF_PERCENT 90
 
 static struct mt_job_resources
-used_on (const struct mt_worker *worker)
+total_usage (const struct mt_worker *worker)
 {
   struct mt_job_resources used = { 0, 0, 0 };
 
@@ -15,9 +16,9 @@
   return used;
 }
 
-/* Greater gives way first. */
+/* The job with the highest rank is throttled or checkpointed first. */
 static int
-give_way_rank (const struct mt_job *job)
+preemption_rank (const struct mt_job *job)
 {
   return (job->aged ? 0 : 4) + (job->borrowed ? 2 : 0) + (int) job->urgency * 8;
 }
@@ -33,9 +34,9 @@
 
       if (job->state != MT_JOB_RUNNING || (!for_memory && job->throttled))
         continue;
-      if (for_memory ? job->used.memory_mb == 0 : job->used.cpu_milli <= job->taken.cpu_milli)
+      if (for_memory ? job->used.memory_mb == 0 : job->used.cpu_milli <= job->allocated.cpu_milli)
         continue;
-      if (best == NULL || give_way_rank (job) > give_way_rank (best))
+      if (best == NULL || preemption_rank (job) > preemption_rank (best))
         best = job;
     }
   return best;
@@ -45,7 +46,7 @@
 throttle (struct mt_job *job, GArray *actions)
 {
   struct mt_job_action action
-      = { MT_JOB_THROTTLE, job->name, job->worker->name, job->epoch, job->lease, job->taken };
+      = { MT_JOB_THROTTLE, job->name, job->worker->name, job->epoch, job->lease, job->allocated };
 
   job->throttled = true;
   g_array_append_val (actions, action);
@@ -54,18 +55,18 @@
 static void
 relieve_worker (struct mt_jobs *jobs, struct mt_worker *worker, GArray *actions)
 {
-  struct mt_job_resources used = used_on (worker);
-  uint64_t memory_limit = (uint64_t) worker->size.memory_mb * MEMORY_RELIEF_PERCENT / 100;
+  struct mt_job_resources used = total_usage (worker);
+  uint64_t memory_limit = (uint64_t) worker->capacity.memory_mb * MEMORY_RELIEF_PERCENT / 100;
   struct mt_job *victim;
 
-  /* One at a time: the next report tells whether it was enough. */
+  /* One job at a time: the next usage report shows whether that was enough. */
   if (used.memory_mb > memory_limit && worker->tasks->len > 1)
     {
       victim = pick_victim (worker, true);
       if (victim != NULL)
         mt_jobs_request_end (jobs, victim, MT_JOB_CHECKPOINTING);
     }
-  else if (used.cpu_milli > worker->size.cpu_milli)
+  else if (used.cpu_milli > worker->capacity.cpu_milli)
     {
       victim = pick_victim (worker, false);
       if (victim != NULL)
--- a/core/jobs/size.c
+++ b/core/jobs/size.c
@@ -1,10 +1,10 @@
 #include "medlartrack/jobs.h"
 
 bool
-mt_job_resources_fit (struct mt_job_resources need, struct mt_job_resources room)
+mt_job_resources_fit (struct mt_job_resources need, struct mt_job_resources available)
 {
-  return need.cpu_milli <= room.cpu_milli && need.memory_mb <= room.memory_mb
-         && need.accelerators <= room.accelerators;
+  return need.cpu_milli <= available.cpu_milli && need.memory_mb <= available.memory_mb
+         && need.accelerators <= available.accelerators;
 }
 
 struct mt_job_resources
@@ -17,7 +17,7 @@
 }
 
 static uint32_t
-sub (uint32_t a, uint32_t b)
+sub_saturating (uint32_t a, uint32_t b)
 {
   return a > b ? a - b : 0;
 }
@@ -25,8 +25,9 @@
 struct mt_job_resources
 mt_job_resources_sub (struct mt_job_resources a, struct mt_job_resources b)
 {
-  struct mt_job_resources rest = { sub (a.cpu_milli, b.cpu_milli), sub (a.memory_mb, b.memory_mb),
-                                   sub (a.accelerators, b.accelerators) };
+  struct mt_job_resources rest
+      = { sub_saturating (a.cpu_milli, b.cpu_milli), sub_saturating (a.memory_mb, b.memory_mb),
+          sub_saturating (a.accelerators, b.accelerators) };
 
   return rest;
 }
--- a/include/medlartrack/jobs.h
+++ b/include/medlartrack/jobs.h
@@ -1,10 +1,11 @@
-/* Places the pools' jobs on workers, fences what may not run twice, and sees to it that every job
- * that can run ends.
+/* Scheduler for the pools' jobs in one data centre: places them on workers, fences jobs that may
+ * not run twice, and ensures that every job that can run ends.
  *
- * A mt_jobs is one planner's book. It has no I/O: the owner feeds it workers, teams, submissions,
- * cancellations and reports, calls mt_jobs_plan, makes the changes durable (mt_jobs_take_changes)
- * and only then carries the actions out. A planner that takes over replays the changes. Not
- * thread-safe: the owner holds a lock around every call. Names are copied. */
+ * A struct mt_jobs is the state of one planner. It does no I/O: the owner passes in workers, teams,
+ * submissions, cancellations and reports, calls mt_jobs_plan, makes the changes durable
+ * (mt_jobs_take_changes) and only then carries out the actions. A planner that takes over replays
+ * the recorded changes. Not thread-safe: the owner holds a lock around every call. Names are
+ * copied. */
 #ifndef MEDLARTRACK_JOBS_H
 #define MEDLARTRACK_JOBS_H
 
@@ -13,7 +14,7 @@
 
 #include <glib.h>
 
-/* What a job takes or a worker has. */
+/* Resources that a job uses or a worker has. */
 struct mt_job_resources
 {
   uint32_t cpu_milli; /* thousandths of a processor */
@@ -21,9 +22,9 @@
   uint32_t accelerators;
 };
 
-bool mt_job_resources_fit (struct mt_job_resources need, struct mt_job_resources room);
+bool mt_job_resources_fit (struct mt_job_resources need, struct mt_job_resources available);
 struct mt_job_resources mt_job_resources_add (struct mt_job_resources a, struct mt_job_resources b);
-/* Stops at zero. */
+/* Subtracts each resource; a negative difference becomes 0. */
 struct mt_job_resources mt_job_resources_sub (struct mt_job_resources a, struct mt_job_resources b);
 
 enum mt_urgency
@@ -36,11 +37,11 @@
 
 struct mt_job_spec
 {
-  const char *name; /* unique */
-  const char *kind; /* jobs of one kind teach each other their sizes */
+  const char *name; /* unique among all jobs */
+  const char *kind; /* resource usage is learned per kind */
   const char *team;
   const char *pool;
-  struct mt_job_resources declared; /* as declared, often far off */
+  struct mt_job_resources declared; /* by the submitter; often far from the real usage */
   enum mt_urgency urgency;
   bool may_run_twice;
 };
@@ -49,39 +50,43 @@
 {
   const char *name;
   const char *rack;
-  const char *pool; /* whose jobs it runs now */
+  const char *pool; /* pool whose jobs the worker runs now */
   struct mt_job_resources capacity;
-  uint64_t lease; /* grows each time the worker starts anew */
+  uint64_t lease; /* incarnation of the worker: grows with each restart */
 };
 
-/* How to choose among the workers that have room. */
+/* Policy that chooses among the workers with enough free resources. */
 struct mt_placement_policy
 {
   const char *name;
   const char *description;
-  /* Lower is better. room is what is free before the job takes need of it; beside counts running
-   * jobs of the same kind in the worker's rack. */
-  double (*cost) (struct mt_job_resources size,
-                  struct mt_job_resources room,
+  /* Lower is better. available: free resources of the worker before the job is placed; need:
+   * resources that the job would use; same_rack: running jobs of the same kind in the worker's
+   * rack. */
+  double (*cost) (struct mt_job_resources capacity,
+                  struct mt_job_resources available,
                   struct mt_job_resources need,
-                  unsigned beside);
+                  unsigned same_rack);
 };
 
-/* Ended by an entry without a name; the first is the default. */
+/* Array that ends with an entry whose name is NULL; the first entry is the default. */
 const struct mt_placement_policy *mt_placement_policies (void);
 
-/* Bounds that the operator may set; mt_jobs_default_options has working ones. */
+/* Scheduler options. mt_jobs_default_options returns usable values for all of them. */
 struct mt_jobs_options
 {
-  int64_t age_limit_us[MT_URGENCY_COUNT]; /* waited so long, a job counts as urgent and aged */
-  int64_t start_timeout_us; /* no report after a start: the start is fenced and tried elsewhere */
-  int64_t request_retry_us; /* a stop, checkpoint or fence not yet confirmed is asked again */
-  int64_t usage_delay_us;   /* usage older than the task's start plus this says nothing of it */
-  int64_t quarantine_us;    /* first quarantine; doubles with each relapse */
-  unsigned quarantine_threshold; /* distinct jobs that fail in a row on one worker */
-  unsigned poison_threshold;     /* distinct workers that one job fails on, or takes down */
-  int64_t crash_window_us; /* a worker lost so soon after a start may have been taken down by it */
-  unsigned max_starts;     /* per plan */
+  int64_t
+      age_limit_us[MT_URGENCY_COUNT]; /* jobs waiting this long become aged: treated as urgent */
+  int64_t
+      start_timeout_us; /* an unreported start is fenced after this, the job started elsewhere */
+  int64_t request_retry_us; /* interval for repeating unconfirmed stops, checkpoints and fences */
+  int64_t usage_delay_us;   /* usage measured earlier than this after the task's start is ignored */
+  int64_t quarantine_us; /* length of a worker's first quarantine; doubles with each repetition */
+  unsigned quarantine_threshold; /* jobs failing in a row on one worker that put it in quarantine */
+  unsigned poison_threshold;     /* workers that a job fails on or crashes before it is given up */
+  int64_t
+      crash_window_us; /* a worker lost this soon after a start may have been crashed by the job */
+  unsigned max_starts; /* per call of mt_jobs_plan */
   const struct mt_placement_policy *placement;
 };
 
@@ -89,16 +94,16 @@
 
 enum mt_job_state
 {
-  MT_JOB_UNKNOWN, /* no such job */
+  MT_JOB_UNKNOWN, /* no job of this name */
   MT_JOB_WAITING,
-  MT_JOB_RUNNING,       /* started on a worker under its epoch */
-  MT_JOB_CHECKPOINTING, /* asked to save its progress and yield */
-  MT_JOB_FENCING,       /* its worker is lost: waits for the proof that the old epoch can't run */
-  MT_JOB_STOPPING,      /* cancelled, its end not yet confirmed */
+  MT_JOB_RUNNING,       /* started on a worker with the job's current epoch */
+  MT_JOB_CHECKPOINTING, /* asked to save its progress and end */
+  MT_JOB_FENCING,       /* worker lost; waits for proof that the old epoch can't run any more */
+  MT_JOB_STOPPING,      /* cancelled; the end of its task is not confirmed yet */
   MT_JOB_DONE,
   MT_JOB_CANCELLED,
-  MT_JOB_UNSCHEDULABLE, /* can't run on any worker of its pool; the reason says why */
-  MT_JOB_POISON,        /* failed on several workers, or took them down; not tried again */
+  MT_JOB_UNSCHEDULABLE, /* needs more than any worker of its pool has; see mt_jobs_reason */
+  MT_JOB_POISON,        /* failed on or crashed several workers; not started again */
 };
 
 const char *mt_job_state_name (enum mt_job_state state);
@@ -109,27 +114,28 @@
   MT_JOB_CHECKPOINT, /* save progress, then end */
   MT_JOB_STOP,
   MT_JOB_THROTTLE,
-  MT_JOB_FENCE, /* refuse this and older epochs of the job for ever, and confirm */
+  MT_JOB_FENCE, /* refuse this and older epochs of the job from now on, and confirm that */
 };
 
-/* For the platform to carry out on a worker. Names live until the next call on the book. */
+/* An action for the platform to carry out on a worker. The names are valid until the next call on
+ * the struct mt_jobs. */
 struct mt_job_action
 {
   enum mt_job_action_kind kind;
   const char *job;
   const char *worker;
-  uint64_t epoch; /* grows with each start of the job; a worker refuses older ones */
-  uint64_t lease; /* of the worker; one that started anew since refuses the action */
-  struct mt_job_resources resources; /* of a start: what the task may take */
+  uint64_t epoch; /* grows with each start of the job; workers refuse older epochs */
+  uint64_t lease; /* the worker's lease; a worker restarted since then refuses the action */
+  struct mt_job_resources resources; /* of a start: resources that the task may use */
 };
 
 enum mt_job_report_kind
 {
-  MT_REPORT_RUNNING, /* with usage */
+  MT_REPORT_RUNNING, /* carries usage */
   MT_REPORT_DONE,
   MT_REPORT_FAILED,
-  MT_REPORT_STOPPED,      /* ended on request; progress is not kept */
-  MT_REPORT_CHECKPOINTED, /* ended on request; progress is kept */
+  MT_REPORT_STOPPED,      /* ended on request; progress is lost */
+  MT_REPORT_CHECKPOINTED, /* ended on request; progress is saved */
   MT_REPORT_FENCED,       /* the worker will never run this or an older epoch of the job */
 };
 
@@ -139,8 +145,8 @@
   const char *job;
   const char *worker;
   uint64_t epoch;
-  struct mt_job_resources usage; /* with RUNNING and DONE; all zero where not known */
-  int64_t measured_us;           /* when the usage was measured, on the book's clock */
+  struct mt_job_resources usage; /* with RUNNING and DONE; all zero if unknown */
+  int64_t measured_us; /* time of the usage measurement, on the clock of the struct mt_jobs */
 };
 
 struct mt_jobs;
@@ -149,64 +155,69 @@
                                 const struct mt_jobs_options *options);
 void mt_jobs_destroy (struct mt_jobs *jobs);
 
-/* Adds a worker or takes its new pool or size; jobs of its former pool are checkpointed away. */
+/* Adds a worker, or updates its pool and capacity. If the pool changes, running jobs are
+ * checkpointed and leave the worker. */
 void mt_jobs_set_worker (struct mt_jobs *jobs, const struct mt_worker_spec *spec);
-/* Another pool, nothing else. */
+/* Changes only the worker's pool. */
 void mt_jobs_move_worker (struct mt_jobs *jobs, const char *name, const char *pool);
-/* Its pool, or NULL for a worker that is not known; lives until it is moved. */
+/* Pool of a worker, or NULL if the worker is unknown. Valid until the worker changes its pool. */
 const char *mt_jobs_worker_pool (const struct mt_jobs *jobs, const char *name);
-/* The names of all workers, borrowed from the book. */
+/* Names of all workers. The caller frees the array; the names belong to jobs. */
 GPtrArray *mt_jobs_worker_names (const struct mt_jobs *jobs);
-/* A draining worker gets nothing new and its jobs are checkpointed away. */
+/* A draining worker gets no new jobs, and its running jobs are checkpointed and leave it. */
 void mt_jobs_drain_worker (struct mt_jobs *jobs, const char *name, bool draining);
-/* Its lease lapsed: it may still run what it ran. Of an older lease: ignored. */
+/* The worker's lease expired; its tasks may still be running. Ignored if the lease is not the
+ * current one. */
 void mt_jobs_worker_lease_lost (struct mt_jobs *jobs, const char *name, uint64_t lease);
-/* Its lease is held again, by the same start of it: its tasks may have gone on running. */
+/* The worker holds the same lease again without a restart; its tasks may have continued to run. */
 void mt_jobs_worker_lease_regained (struct mt_jobs *jobs, const char *name, uint64_t lease);
-/* It started anew under a newer lease: nothing that it ran before runs now. */
+/* The worker restarted with a newer lease; none of its earlier tasks is running any more. */
 void mt_jobs_worker_restarted (struct mt_jobs *jobs, const char *name, uint64_t lease);
-/* Calls visit for each worker on which something runs by the book. */
+/* Calls visit for each worker that has tasks according to the scheduler state. */
 void mt_jobs_foreach_busy_worker (const struct mt_jobs *jobs,
                                   void (*visit) (void *ctx, const char *worker, unsigned tasks),
                                   void *ctx);
-/* 0 where nothing runs there by the book. */
+/* Number of tasks on a worker according to the scheduler state. */
 unsigned mt_jobs_worker_task_count (const struct mt_jobs *jobs, const char *name);
 
 void mt_jobs_set_quota (struct mt_jobs *jobs, const char *name, struct mt_job_resources quota);
 
-/* False where the name is known already or was cancelled before: both are idempotent. */
+/* Returns false if a job of that name exists or was cancelled before; repeated submissions and
+ * cancellations have no further effect. */
 bool mt_jobs_submit (struct mt_jobs *jobs, const struct mt_job_spec *spec);
-/* Also of a job that is not submitted yet; never undone by a late report. */
+/* Also works before the job is submitted. A late report never reverts it. */
 void mt_jobs_cancel (struct mt_jobs *jobs, const char *name);
 void mt_jobs_report (struct mt_jobs *jobs, const struct mt_job_report *report);
-/* Drops an ended job, or a cancellation, once its row has left the tables; false, and nothing done,
- * where the job has not ended. */
+/* Removes an ended job, or a cancellation recorded in advance, once its row has left the tables.
+ * Returns false without any change if the job has not ended. */
 bool mt_jobs_remove (struct mt_jobs *jobs, const char *name);
 
-/* Decides what to do now; appends struct mt_job_action to actions. Cancellations come first. */
+/* Runs one planning round; appends struct mt_job_action entries to actions, stops of cancelled jobs
+ * first. */
 void mt_jobs_plan (struct mt_jobs *jobs, GArray *actions);
 
 enum mt_job_state mt_jobs_state (const struct mt_jobs *jobs, const char *name);
-/* Why a job is MT_JOB_UNSCHEDULABLE or MT_JOB_POISON; NULL otherwise. */
+/* Reason for MT_JOB_UNSCHEDULABLE or MT_JOB_POISON; NULL in other states. */
 const char *mt_jobs_reason (const struct mt_jobs *jobs, const char *name);
-/* Calls visit for each job; the texts live until the next call on the book. */
+/* Calls visit for each job; the strings are valid until the next call on jobs. */
 void mt_jobs_foreach_job (
     const struct mt_jobs *jobs,
     void (*visit) (void *ctx, const char *name, enum mt_job_state state, const char *reason),
     void *ctx);
 bool mt_jobs_is_quarantined (const struct mt_jobs *jobs, const char *name);
-/* What the jobs of a team hold now, and how much of it is borrowed beyond its quota. */
+/* Resources allocated to a team's jobs, and the part of them borrowed beyond its quota. */
 struct mt_job_resources mt_jobs_team_allocated (const struct mt_jobs *jobs, const char *name);
 struct mt_job_resources mt_jobs_team_borrowed (const struct mt_jobs *jobs, const char *name);
-/* What is taken of a worker by the book. */
+/* Resources of a worker that are allocated to jobs. */
 struct mt_job_resources mt_jobs_worker_allocated (const struct mt_jobs *jobs, const char *name);
 
-/* The changes of state since the last call, as one msgpack batch to make durable; empty where there
- * are none. */
+/* Appends the state changes since the last call as one msgpack batch to be made durable; appends
+ * nothing if there are none. */
 void mt_jobs_take_changes (struct mt_jobs *jobs, GString *out);
-/* All that is not as declared, as one such batch. */
+/* Appends the state of all jobs that differs from their declaration, as one such batch. */
 void mt_jobs_snapshot (const struct mt_jobs *jobs, GString *out);
-/* Brings a fresh book, with its workers and submissions already in, up to a recorded batch. */
+/* Applies a recorded batch to a new struct mt_jobs that already has its workers and submissions.
+ * Returns false with MT_ERROR_SYNTAX if the batch can't be read. */
 bool mt_jobs_replay (struct mt_jobs *jobs, struct mt_str batch, GError **error);
 
 #endif
--- a/include/medlartrack/jobs_journal.h
+++ b/include/medlartrack/jobs_journal.h
@@ -1,9 +1,10 @@
-/* Where a data centre's book of jobs lasts: batches of changes in the platform's service, each one
- * key medlartrack/jobs/ZONE/GENERATION/SEQ created by compare-and-swap where it does not exist. A
- * planner that lost its lease unawares loses the race for the next number and must drop its book,
- * so that of two planners only one gets its actions recorded. A generation starts with a snapshot.
+/* Durable journal of a data centre's job state: batches of changes in the platform's service, each
+ * under one key medlartrack/jobs/ZONE/GENERATION/SEQ, which is created by compare-and-swap only if
+ * it does not exist. A planner that lost its lease without noticing loses the race for the next
+ * sequence number and must discard its state, so only one of two planners gets its actions
+ * recorded. Each generation starts with a snapshot.
  *
- * Calls block on the store. One thread at a time. */
+ * Calls block on the store. Only one thread may use a journal at a time. */
 #ifndef MEDLARTRACK_JOBS_JOURNAL_H
 #define MEDLARTRACK_JOBS_JOURNAL_H
 
@@ -14,26 +15,27 @@
 
 struct mt_jobs_journal;
 
-/* writer: random, unique to this run of the process. */
+/* writer: random number, unique to this run of the process. */
 struct mt_jobs_journal *
 mt_jobs_journal_create (const struct mt_store *store, const char *zone, uint64_t writer);
 void mt_jobs_journal_destroy (struct mt_jobs_journal *journal);
 
-/* Replays all that is recorded into a fresh book; one call of the store. */
+/* Replays all recorded batches into a new struct mt_jobs, with one call of the store. */
 bool mt_jobs_journal_load (struct mt_jobs_journal *journal, struct mt_jobs *jobs, GError **error);
 
 enum mt_journal_result
 {
   MT_JOURNAL_RECORDED,
-  MT_JOURNAL_CONFLICT, /* another planner's batch came first: drop the book, load anew */
-  MT_JOURNAL_FAILED,   /* not recorded, or not known: drop the book, load anew when it answers */
+  MT_JOURNAL_CONFLICT, /* another planner's batch came first: discard the state and load again */
+  MT_JOURNAL_FAILED,   /* not recorded, or unknown: discard the state and load again once the store
+                          answers */
 };
 
-/* Records one batch; carry its actions out only after RECORDED. */
+/* Records one batch; carry out its actions only after MT_JOURNAL_RECORDED. */
 enum mt_journal_result
 mt_jobs_journal_append (struct mt_jobs_journal *journal, struct mt_str batch, GError **error);
-/* Starts a new generation from a snapshot once the old one has grown long; RECORDED also where
- * there was nothing to do. */
+/* Starts a new generation with a snapshot if the current one has become long. Returns
+ * MT_JOURNAL_RECORDED also if there was nothing to do. */
 enum mt_journal_result
 mt_jobs_journal_compact (struct mt_jobs_journal *journal, struct mt_jobs *jobs, GError **error);
 
