--- a/tests/jobs/property_jobs.cpp
+++ b/tests/jobs/property_jobs.cpp
@@ -1,6 +1,6 @@
-/* Rival planners, a lossy network and workers that pause, restart and wake late: whatever the
- * order, no job that may not run twice has two running copies, and the book stays within size and
- * quota. */
+/* Two competing planners, a lossy network, and workers that pause, restart and resume late: in any
+ * order of events, no job that may not run twice has two running copies, and allocations stay
+ * within capacity and quota. */
 #include <glib.h>
 
 extern "C"
@@ -59,13 +59,14 @@
   uint64_t epoch;
 };
 
-/* What the platform's worker does: refuses what is fenced, older, or meant for a former lease. */
+/* Model of the platform's worker: refuses epochs that are fenced or old, and actions for a former
+ * lease. */
 struct Worker
 {
   uint64_t lease = 1;
-  bool lapsed = false;
-  std::map<int, uint64_t> running;    /* job -> epoch */
-  std::map<int, uint64_t> refused_to; /* job -> highest epoch never to start */
+  bool lease_expired = false;
+  std::map<int, uint64_t> running;        /* job -> epoch */
+  std::map<int, uint64_t> refused_epochs; /* job -> highest epoch to refuse */
   std::map<int, uint64_t> done;
 };
 
@@ -123,7 +124,8 @@
       }
   }
 
-  /* A planner that takes over: the platform's workers, the declared jobs, then the record. */
+  /* Creates a planner that takes over: adds the platform's workers and the declared jobs, then
+   * replays the recorded batches. */
   void
   rebuild (int p)
   {
@@ -138,12 +140,12 @@
       RC_ASSERT (mt_jobs_replay (planners[p], { batch.data (), batch.size () }, nullptr));
     seen[p] = log.size ();
     for (int i = 0; i < worker_count; i++)
-      if (workers[i].lapsed)
+      if (workers[i].lease_expired)
         mt_jobs_worker_lease_lost (planners[p], worker_name (i).c_str (), workers[i].lease);
   }
 
   void
-  check_book (mt_jobs *jobs)
+  check_invariants (mt_jobs *jobs)
   {
     mt_job_resources held = mt_jobs_team_allocated (jobs, "a");
     mt_job_resources borrowed = mt_jobs_team_borrowed (jobs, "a");
@@ -153,8 +155,8 @@
       RC_ASSERT (mt_jobs_worker_allocated (jobs, worker_name (i).c_str ()).cpu_milli <= worker_cpu);
   }
 
-  /* Actions go out only once the record of them is the next one in the log: a rival's batch in that
-   * place makes this planner drop its book. */
+  /* Sends actions only after their batch is recorded as the next one; if another planner's batch
+   * came first, this planner rebuilds its state instead. */
   void
   plan (int p)
   {
@@ -162,7 +164,7 @@
     GString *batch = g_string_new (nullptr);
 
     mt_jobs_plan (planners[p], actions);
-    check_book (planners[p]);
+    check_invariants (planners[p]);
     mt_jobs_take_changes (planners[p], batch);
     if (seen[p] != log.size ())
       rebuild (p);
@@ -185,9 +187,9 @@
   void
   start (Worker &worker, const Action &a)
   {
-    if (a.epoch <= worker.refused_to[a.job])
+    if (a.epoch <= worker.refused_epochs[a.job])
       return;
-    worker.refused_to[a.job] = a.epoch;
+    worker.refused_epochs[a.job] = a.epoch;
     worker.running[a.job] = a.epoch;
     reports.push_back ({ MT_REPORT_RUNNING, a.job, a.worker, a.epoch });
   }
@@ -197,7 +199,7 @@
   {
     auto it = worker.running.find (a.job);
 
-    worker.refused_to[a.job] = std::max (worker.refused_to[a.job], a.epoch);
+    worker.refused_epochs[a.job] = std::max (worker.refused_epochs[a.job], a.epoch);
     if (worker.done.count (a.job) && worker.done[a.job] == a.epoch)
       kind = MT_REPORT_DONE;
     else if (it != worker.running.end () && it->second <= a.epoch)
@@ -232,7 +234,7 @@
   }
 
   void
-  take_report (int p, const Report &r)
+  apply_report (int p, const Report &r)
   {
     std::string job = job_name (r.job);
     std::string worker = worker_name (r.worker);
@@ -262,9 +264,9 @@
   restart_worker (int w)
   {
     workers[w].running.clear ();
-    workers[w].refused_to.clear ();
+    workers[w].refused_epochs.clear ();
     workers[w].done.clear ();
-    workers[w].lapsed = false;
+    workers[w].lease_expired = false;
     workers[w].lease++;
   }
 
@@ -301,13 +303,13 @@
       case 6:
       case 7:
         if (!reports.empty ())
-          take_report (p, reports[(r >> 10) % reports.size ()]);
+          apply_report (p, reports[(r >> 10) % reports.size ()]);
         break;
       case 8:
         finish_a_task (w, (r & 0x40) != 0);
         break;
       case 9:
-        workers[w].lapsed = true;
+        workers[w].lease_expired = true;
         mt_jobs_worker_lease_lost (planners[p], worker_name (w).c_str (), workers[w].lease);
         break;
       case 10:
@@ -356,8 +358,8 @@
     }
 }
 
-/* After any such history, once the network is quiet and the workers answer, every job that was not
- * cancelled ends. */
+/* After any such history, once the network is reliable and the workers respond, every job that was
+ * not cancelled ends. */
 void
 property_every_job_ends (const std::vector<uint32_t> &steps)
 {
@@ -377,7 +379,7 @@
         world.deliver (a);
       world.network.clear ();
       for (auto &r : world.reports)
-        world.take_report (0, r);
+        world.apply_report (0, r);
       world.reports.clear ();
       for (int i = 0; i < worker_count; i++)
         world.finish_a_task (i, true);
--- a/tests/jobs/test_jobs.c
+++ b/tests/jobs/test_jobs.c
@@ -64,7 +64,7 @@
   mt_jobs_plan (f->jobs, f->actions);
 }
 
-/* The last action of a kind for a job, or NULL. */
+/* Returns the last action of a kind for a job, or NULL. */
 static const struct mt_job_action *
 find_action (const struct fixture *f, enum mt_job_action_kind kind, const char *job)
 {
@@ -91,13 +91,13 @@
   mt_jobs_report (f->jobs, &r);
 }
 
-static const struct mt_job_resources nothing = { 0, 0, 0 };
+static const struct mt_job_resources no_usage = { 0, 0, 0 };
 
-/* A worker's lease lapses while an invoice run is on it. The worker is only paused: started again
- * elsewhere at once, the run would have two copies when the worker wakes. So it waits until the
- * worker confirms the fence, and a start of the old epoch is refused from then on. */
+/* Guards against two running copies of a job that may not run twice. A worker's lease expires while
+ * it runs the job, but the worker is only paused. The job must not be started elsewhere until the
+ * worker confirms the fence, after which it refuses the old epoch. */
 static void
-test_job_waits_for_fence_after_lapse (void **state)
+test_job_waits_for_fence_after_lease_expiry (void **state)
 {
   struct fixture *f = *state;
   struct mt_job_action first;
@@ -112,16 +112,15 @@
   assert_null (find_action (f, MT_JOB_START, "invoices"));
   assert_non_null (find_action (f, MT_JOB_FENCE, "invoices"));
   assert_int_equal (mt_jobs_state (f->jobs, "invoices"), MT_JOB_FENCING);
-  report (f, &first, MT_REPORT_FENCED, nothing);
+  report (f, &first, MT_REPORT_FENCED, no_usage);
   plan (f);
   assert_non_null (find_action (f, MT_JOB_START, "invoices"));
   assert_true (find_action (f, MT_JOB_START, "invoices")->epoch > first.epoch);
   assert_string_not_equal (find_action (f, MT_JOB_START, "invoices")->worker, first.worker);
 }
 
-/* A job is cancelled while it runs; its worker's RUNNING report, sent before it heard of that,
- * arrives late. The report must not bring the job back, and the stop is asked for until confirmed.
- */
+/* Guards against a cancelled job that runs again because of a late report: the worker sends RUNNING
+ * before it receives the stop. The stop must be repeated until confirmed. */
 static void
 test_late_report_does_not_resurrect_cancelled_job (void **state)
 {
@@ -137,9 +136,9 @@
   plan (f);
   assert_int_equal (f->actions->len, 1);
   assert_non_null (find_action (f, MT_JOB_STOP, "job"));
-  report (f, &start, MT_REPORT_RUNNING, nothing);
+  report (f, &start, MT_REPORT_RUNNING, no_usage);
   assert_int_equal (mt_jobs_state (f->jobs, "job"), MT_JOB_STOPPING);
-  report (f, &start, MT_REPORT_STOPPED, nothing);
+  report (f, &start, MT_REPORT_STOPPED, no_usage);
   assert_int_equal (mt_jobs_state (f->jobs, "job"), MT_JOB_CANCELLED);
   assert_int_equal (mt_jobs_worker_task_count (f->jobs, "w1"), 0);
   mt_clock_manual_advance (f->manual, 3600 * MT_SECOND);
@@ -147,9 +146,9 @@
   assert_int_equal (f->actions->len, 0);
 }
 
-/* A cancellation overtakes its own submission, as in a wave of both: the job must not start. */
+/* Guards against starting a job whose cancellation arrives before its submission. */
 static void
-test_cancel_before_submit_holds (void **state)
+test_cancel_before_submit_prevents_start (void **state)
 {
   struct fixture *f = *state;
   struct mt_job_spec spec
@@ -164,7 +163,7 @@
 }
 
 static void
-test_impossible_job_is_named_once_and_blocks_nobody (void **state)
+test_unschedulable_job_does_not_block_others (void **state)
 {
   struct fixture *f = *state;
 
@@ -180,11 +179,11 @@
   assert_int_equal (mt_jobs_state (f->jobs, "giant"), MT_JOB_RUNNING);
 }
 
-/* Background work of one team fills the fleet beyond its quota. An urgent job of another team,
- * within its own quota, must start within seconds: the borrower is asked to checkpoint and yields.
- */
+/* Guards against urgent jobs that wait for borrowed resources. One team's background jobs use the
+ * whole fleet beyond their quota; an urgent job of another team, within its quota, must have one of
+ * them checkpointed. */
 static void
-test_borrowed_room_is_taken_back_by_checkpoint (void **state)
+test_borrowed_resources_are_preempted_by_checkpoint (void **state)
 {
   struct fixture *f = *state;
   struct mt_job_spec urgent
@@ -202,14 +201,14 @@
   assert_int_equal (f->actions->len, 1);
   yielding = g_array_index (f->actions, struct mt_job_action, 0);
   assert_int_equal (yielding.kind, MT_JOB_CHECKPOINT);
-  report (f, &yielding, MT_REPORT_CHECKPOINTED, nothing);
+  report (f, &yielding, MT_REPORT_CHECKPOINTED, no_usage);
   plan (f);
   assert_int_equal (mt_jobs_state (f->jobs, "urgent"), MT_JOB_RUNNING);
 }
 
-/* A stream of urgent jobs keeps the only worker full. The weekly recalculation needs all of it:
- * once it has waited its limit, the worker is held for it and it starts as soon as what runs has
- * ended. */
+/* Guards against starvation. A stream of urgent jobs keeps the only worker full, and a background
+ * job needs the whole worker. Once the job has waited for its age limit, the worker is reserved for
+ * it, and it starts when the running jobs have ended. */
 static void
 test_aged_job_starts_under_urgent_load (void **state)
 {
@@ -230,23 +229,23 @@
       mt_jobs_drain_worker (f->jobs, "w1", false);
       for (guint i = 0; i < f->actions->len; i++)
         report (f, &g_array_index (f->actions, struct mt_job_action, i), MT_REPORT_RUNNING,
-                nothing);
+                no_usage);
       mt_clock_manual_advance (f->manual, 30 * MT_SECOND);
       if (rounds >= 1)
         {
           g_autofree char *old = g_strdup_printf ("urgent-%u", rounds - 1);
           struct mt_job_action done = { MT_JOB_START, old, "w1", 1, 1 };
 
-          report (f, &done, MT_REPORT_DONE, nothing);
+          report (f, &done, MT_REPORT_DONE, no_usage);
         }
     }
   assert_int_equal (mt_jobs_state (f->jobs, "weekly"), MT_JOB_RUNNING);
-  /* 3,600 s until it counts as aged is 120 rounds; then what runs has to end. */
+  /* The age limit of 3,600 s is 120 rounds; then the running jobs have to end. */
   assert_true (rounds <= 130);
 }
 
 static void
-fail_once (struct fixture *f, const char *job)
+run_failing_job (struct fixture *f, const char *job)
 {
   const struct mt_job_action *start;
 
@@ -254,23 +253,23 @@
   plan (f);
   start = find_action (f, MT_JOB_START, job);
   assert_non_null (start);
-  report (f, start, MT_REPORT_FAILED, nothing);
+  report (f, start, MT_REPORT_FAILED, no_usage);
   mt_jobs_cancel (f->jobs, job);
 }
 
-/* One worker fails whatever it starts. After three different jobs it is set aside, and later tried
- * with one job at a time; a success brings it back. */
+/* Guards against a worker on which every job fails. After three different jobs it is quarantined,
+ * then gets one job at a time, and is in normal use again after a success. */
 static void
-test_worker_that_fails_everything_is_set_aside (void **state)
+test_worker_that_fails_every_job_is_quarantined (void **state)
 {
   struct fixture *f = *state;
   const struct mt_job_action *start;
 
   add_worker (f, "w1", 8);
-  fail_once (f, "a");
-  fail_once (f, "b");
+  run_failing_job (f, "a");
+  run_failing_job (f, "b");
   assert_false (mt_jobs_is_quarantined (f->jobs, "w1"));
-  fail_once (f, "c");
+  run_failing_job (f, "c");
   assert_true (mt_jobs_is_quarantined (f->jobs, "w1"));
   submit (f, "d", MT_URGENCY_NORMAL, 1, true);
   submit (f, "e", MT_URGENCY_NORMAL, 1, true);
@@ -281,15 +280,15 @@
   assert_int_equal (f->actions->len, 1);
   start = find_action (f, MT_JOB_START, "d");
   assert_non_null (start);
-  report (f, start, MT_REPORT_DONE, nothing);
+  report (f, start, MT_REPORT_DONE, no_usage);
   plan (f);
   assert_non_null (find_action (f, MT_JOB_START, "e"));
 }
 
-/* A job that fails everywhere meets three good workers. It is called bad, its failures are taken
- * back from the workers, and none of them is set aside. */
+/* Guards against good workers being quarantined because of a job that fails everywhere: its
+ * failures are removed from the workers once the job is known to be poison. */
 static void
-test_bad_job_does_not_set_good_workers_aside (void **state)
+test_poison_job_does_not_quarantine_good_workers (void **state)
 {
   struct fixture *f = *state;
 
@@ -305,7 +304,7 @@
         {
           plan (f);
           assert_non_null (find_action (f, MT_JOB_START, name));
-          report (f, find_action (f, MT_JOB_START, name), MT_REPORT_FAILED, nothing);
+          report (f, find_action (f, MT_JOB_START, name), MT_REPORT_FAILED, no_usage);
         }
       assert_int_equal (mt_jobs_state (f->jobs, name), MT_JOB_POISON);
     }
@@ -314,10 +313,10 @@
   assert_false (mt_jobs_is_quarantined (f->jobs, "w3"));
 }
 
-/* Declared at one processor, jobs of the kind use six. Three such runs teach it: the fourth and
- * fifth no longer share a worker of eight. */
+/* Guards against estimates that stay at the declared resources. Jobs declared at one processor use
+ * six; after three such runs, two of them must not share a worker with eight. */
 static void
-test_learned_size_replaces_declared_one (void **state)
+test_learned_usage_replaces_declared_resources (void **state)
 {
   struct fixture *f = *state;
   struct mt_job_resources seen = { 6000, 2 * GB, 0 };
@@ -341,8 +340,8 @@
   assert_int_equal (mt_jobs_worker_allocated (f->jobs, "w1").cpu_milli, 6300);
 }
 
-/* Two jobs declared small use more memory than the worker has. One of them is checkpointed away
- * before the worker fails both; the urgent one stays. */
+/* Guards against a worker that runs out of memory because two jobs use more than declared: one of
+ * them is checkpointed in time, and the urgent one stays. */
 static void
 test_overcommitted_worker_is_relieved (void **state)
 {
@@ -365,10 +364,10 @@
   assert_null (find_action (f, MT_JOB_CHECKPOINT, "urgent"));
 }
 
-/* The planner dies between the record of a start and the start itself. Its successor replays the
- * record, hears nothing of the job, fences the epoch and starts the job elsewhere. */
+/* Guards against a start that was recorded but never sent because the planner died in between. Its
+ * successor replays the record, gets no report of the job, and must fence the epoch. */
 static void
-test_successor_goes_on_from_the_record (void **state)
+test_new_planner_resumes_from_records (void **state)
 {
   struct fixture *f = *state;
   struct mt_jobs_options options = mt_jobs_default_options ();
@@ -395,7 +394,7 @@
 }
 
 static void
-test_replay_refuses_garbage (void **state)
+test_replay_rejects_garbage (void **state)
 {
   struct fixture *f = *state;
   g_autoptr (GError) error = NULL;
@@ -404,7 +403,7 @@
   assert_non_null (error);
 }
 
-/* The worker of a started job goes down and starts anew, with nothing of before. */
+/* The worker of a started job crashes and restarts without its tasks. */
 static void
 crash_worker_of (struct fixture *f, const struct mt_job_action *start)
 {
@@ -417,9 +416,9 @@
   mt_jobs_worker_restarted (f->jobs, worker, lease + 1);
 }
 
-/* All starts of the plan are reported as running. */
+/* Plans, and reports all starts of the plan as running. */
 static void
-plan_and_run (struct fixture *f)
+plan_and_report_running (struct fixture *f)
 {
   plan (f);
   for (guint i = 0; i < f->actions->len; i++)
@@ -427,7 +426,7 @@
       const struct mt_job_action *action = &g_array_index (f->actions, struct mt_job_action, i);
 
       if (action->kind == MT_JOB_START)
-        report (f, action, MT_REPORT_RUNNING, nothing);
+        report (f, action, MT_REPORT_RUNNING, no_usage);
     }
 }
 
@@ -442,10 +441,10 @@
     }
 }
 
-/* Guards against a job that takes down one worker after the other, without end, and the jobs that
- * are there with it. */
+/* Guards against a job that crashes one worker after the other without end, along with the other
+ * jobs on them. */
 static void
-test_job_that_takes_its_workers_down_is_bad (void **state)
+test_job_that_crashes_its_workers_is_poison (void **state)
 {
   struct fixture *f = *state;
   unsigned crashes = 0;
@@ -457,7 +456,7 @@
     {
       const struct mt_job_action *start;
 
-      plan_and_run (f);
+      plan_and_report_running (f);
       start = find_action (f, MT_JOB_START, "crashing");
       if (start != NULL)
         {
@@ -470,9 +469,9 @@
   assert_int_equal (mt_jobs_state (f->jobs, "good"), MT_JOB_RUNNING);
 }
 
-/* Guards against jobs that were lost with a worker and go together to the next one. */
+/* Guards against a suspect and the other jobs lost with it being restarted on the same worker. */
 static void
-test_jobs_lost_with_a_worker_run_apart (void **state)
+test_jobs_lost_with_a_worker_restart_on_separate_workers (void **state)
 {
   struct fixture *f = *state;
   struct mt_job_action first;
@@ -481,17 +480,18 @@
   add_workers (f, 4);
   submit (f, "crashing", MT_URGENCY_NORMAL, 1, false);
   submit (f, "good", MT_URGENCY_NORMAL, 1, false);
-  plan_and_run (f);
+  plan_and_report_running (f);
   first = *find_action (f, MT_JOB_START, "crashing");
   second = *find_action (f, MT_JOB_START, "good");
   assert_string_equal (first.worker, second.worker);
   crash_worker_of (f, &first);
-  plan_and_run (f);
+  plan_and_report_running (f);
   assert_string_not_equal (find_action (f, MT_JOB_START, "crashing")->worker,
                            find_action (f, MT_JOB_START, "good")->worker);
 }
 
-/* Guards against a suspect that waits for an empty worker while others keep all of them. */
+/* Guards against a suspect that waits for an empty worker forever while other jobs keep all workers
+ * in use. */
 static void
 test_suspect_gets_a_worker_under_load (void **state)
 {
@@ -501,7 +501,7 @@
 
   add_workers (f, 2);
   submit (f, "lost", MT_URGENCY_NORMAL, 1, false);
-  plan_and_run (f);
+  plan_and_report_running (f);
   first = *find_action (f, MT_JOB_START, "lost");
   crash_worker_of (f, &first);
   for (unsigned i = 0; i < 200 && mt_jobs_state (f->jobs, "lost") != MT_JOB_RUNNING; i++)
@@ -512,20 +512,20 @@
 
           submit (f, name, MT_URGENCY_NORMAL, 1, true);
         }
-      plan_and_run (f);
+      plan_and_report_running (f);
       mt_clock_manual_advance (f->manual, 10 * MT_SECOND);
       for (guint k = 0; k < f->actions->len; k++)
         {
           struct mt_job_action done = g_array_index (f->actions, struct mt_job_action, k);
 
           if (done.kind == MT_JOB_START && strcmp (done.job, "lost") != 0)
-            report (f, &done, MT_REPORT_DONE, nothing);
+            report (f, &done, MT_REPORT_DONE, no_usage);
         }
     }
   assert_int_equal (mt_jobs_state (f->jobs, "lost"), MT_JOB_RUNNING);
 }
 
-/* Guards against a planner that takes over and counts anew. */
+/* Guards against a crash count that starts again from zero when another planner takes over. */
 static void
 test_crashes_are_counted_across_planners (void **state)
 {
@@ -540,7 +540,7 @@
     {
       const struct mt_job_action *start;
 
-      plan_and_run (f);
+      plan_and_report_running (f);
       start = find_action (f, MT_JOB_START, "crashing");
       if (start != NULL)
         {
@@ -564,20 +564,20 @@
 {
 #define JOB_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    JOB_TEST (test_job_waits_for_fence_after_lapse),
+    JOB_TEST (test_job_waits_for_fence_after_lease_expiry),
     JOB_TEST (test_late_report_does_not_resurrect_cancelled_job),
-    JOB_TEST (test_cancel_before_submit_holds),
-    JOB_TEST (test_impossible_job_is_named_once_and_blocks_nobody),
-    JOB_TEST (test_borrowed_room_is_taken_back_by_checkpoint),
+    JOB_TEST (test_cancel_before_submit_prevents_start),
+    JOB_TEST (test_unschedulable_job_does_not_block_others),
+    JOB_TEST (test_borrowed_resources_are_preempted_by_checkpoint),
     JOB_TEST (test_aged_job_starts_under_urgent_load),
-    JOB_TEST (test_worker_that_fails_everything_is_set_aside),
-    JOB_TEST (test_bad_job_does_not_set_good_workers_aside),
-    JOB_TEST (test_learned_size_replaces_declared_one),
+    JOB_TEST (test_worker_that_fails_every_job_is_quarantined),
+    JOB_TEST (test_poison_job_does_not_quarantine_good_workers),
+    JOB_TEST (test_learned_usage_replaces_declared_resources),
     JOB_TEST (test_overcommitted_worker_is_relieved),
-    JOB_TEST (test_successor_goes_on_from_the_record),
-    JOB_TEST (test_replay_refuses_garbage),
-    JOB_TEST (test_job_that_takes_its_workers_down_is_bad),
-    JOB_TEST (test_jobs_lost_with_a_worker_run_apart),
+    JOB_TEST (test_new_planner_resumes_from_records),
+    JOB_TEST (test_replay_rejects_garbage),
+    JOB_TEST (test_job_that_crashes_its_workers_is_poison),
+    JOB_TEST (test_jobs_lost_with_a_worker_restart_on_separate_workers),
     JOB_TEST (test_suspect_gets_a_worker_under_load),
     JOB_TEST (test_crashes_are_counted_across_planners),
   };
--- a/tests/jobs/test_journal.c
+++ b/tests/jobs/test_journal.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-#define ENOUGH_BATCHES 600 /* more than a generation holds */
+#define BATCHES_TO_FILL_GENERATION 600 /* more than fit into one generation */
 
 struct fixture
 {
@@ -15,7 +15,7 @@
   struct fake_store *fake;
 };
 
-/* One planner: its book and its journal. */
+/* One planner: its scheduler state and its journal. */
 struct planner
 {
   struct mt_jobs *jobs;
@@ -45,7 +45,7 @@
 }
 
 static struct mt_jobs *
-create_book (const struct fixture *f)
+create_jobs (const struct fixture *f)
 {
   struct mt_jobs_options options = mt_jobs_default_options ();
   struct mt_jobs *jobs = mt_jobs_create (mt_clock_manual_clock (f->manual), &options);
@@ -62,7 +62,7 @@
 create_planner (const struct fixture *f, uint64_t writer)
 {
   struct planner p
-      = { create_book (f), mt_jobs_journal_create (fake_store_store (f->fake), "west", writer) };
+      = { create_jobs (f), mt_jobs_journal_create (fake_store_store (f->fake), "west", writer) };
 
   assert_true (mt_jobs_journal_load (p.journal, p.jobs, NULL));
   return p;
@@ -86,10 +86,11 @@
   return mt_jobs_journal_append (p->journal, (struct mt_str){ batch->str, batch->len }, NULL);
 }
 
-/* Two planners believe to hold the lease. The second to record its start is told of the rival, so
- * it does not carry the start out; loading anew it finds the job started. */
+/* Guards against two planners that both believe they hold the lease. The second one to record its
+ * start gets a conflict and must not carry the start out; after loading again it finds the job
+ * running. */
 static void
-test_rival_batch_stops_second_planner (void **state)
+test_conflicting_batch_stops_second_planner (void **state)
 {
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
@@ -104,10 +105,10 @@
   destroy_planner (&b);
 }
 
-/* The write took effect and its answer was lost. Reading back shows the writer's own batch, so the
- * start is carried out; writing again would have looked like a rival. */
+/* Guards against a recorded start that is not carried out because the store's answer was lost.
+ * Reading the key back shows the writer's own batch; a second write would look like a conflict. */
 static void
-test_lost_answer_is_settled_by_reading (void **state)
+test_lost_answer_is_resolved_by_reading (void **state)
 {
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
@@ -117,10 +118,10 @@
   destroy_planner (&a);
 }
 
-/* The write is held up on its way and lands only after the planner gave it up and a successor went
- * on. The successor's batch has the place; the late one changes nothing. */
+/* Guards against a delayed write that takes effect after its planner gave it up and a successor has
+ * recorded its own batch under the same key. */
 static void
-test_late_write_changes_nothing (void **state)
+test_delayed_write_has_no_effect (void **state)
 {
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
@@ -142,7 +143,7 @@
 static void
 fill_generation (struct planner *p)
 {
-  for (int i = 0; i < ENOUGH_BATCHES; i++)
+  for (int i = 0; i < BATCHES_TO_FILL_GENERATION; i++)
     {
       g_autofree char *name = g_strdup_printf ("cancelled-%d", i);
 
@@ -152,7 +153,7 @@
 }
 
 static void
-test_compaction_keeps_the_book (void **state)
+test_compaction_keeps_the_state (void **state)
 {
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
@@ -167,18 +168,18 @@
   destroy_planner (&a);
 }
 
-struct intruder
+struct interruption
 {
   const struct fixture *f;
   unsigned calls;
   struct planner planner;
 };
 
-/* Runs before the second call of a compaction, between seal and snapshot. */
+/* Runs before the second call of a compaction, between the seal and the snapshot. */
 static void
-intrude (void *ctx)
+run_successor (void *ctx)
 {
-  struct intruder *in = ctx;
+  struct interruption *in = ctx;
 
   if (++in->calls != 2)
     return;
@@ -188,19 +189,19 @@
   assert_int_equal (plan_and_record (&in->planner), MT_JOURNAL_RECORDED);
 }
 
-/* A planner is paused between sealing its generation and writing the snapshot. Its successor goes
- * on and cancels a job. When the first wakes up, its snapshot, which knows nothing of the
- * cancellation, must find its place taken, or the job would be resurrected. */
+/* Guards against a lost cancellation. A planner is paused between sealing its generation and
+ * writing the snapshot, and its successor cancels a job meanwhile. The snapshot, which does not
+ * contain the cancellation, must get a conflict. */
 static void
-test_paused_compaction_loses_to_successor (void **state)
+test_paused_compaction_conflicts_with_successor (void **state)
 {
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
-  struct intruder in = { .f = f };
+  struct interruption in = { .f = f };
   struct planner after;
 
   fill_generation (&a);
-  fake_store_before_call (f->fake, intrude, &in);
+  fake_store_before_call (f->fake, run_successor, &in);
   assert_int_equal (mt_jobs_journal_compact (a.journal, a.jobs, NULL), MT_JOURNAL_CONFLICT);
   after = create_planner (f, 3);
   assert_int_equal (mt_jobs_state (after.jobs, "job"), MT_JOB_STOPPING);
@@ -214,11 +215,11 @@
 {
 #define JOURNAL_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    JOURNAL_TEST (test_rival_batch_stops_second_planner),
-    JOURNAL_TEST (test_lost_answer_is_settled_by_reading),
-    JOURNAL_TEST (test_late_write_changes_nothing),
-    JOURNAL_TEST (test_compaction_keeps_the_book),
-    JOURNAL_TEST (test_paused_compaction_loses_to_successor),
+    JOURNAL_TEST (test_conflicting_batch_stops_second_planner),
+    JOURNAL_TEST (test_lost_answer_is_resolved_by_reading),
+    JOURNAL_TEST (test_delayed_write_has_no_effect),
+    JOURNAL_TEST (test_compaction_keeps_the_state),
+    JOURNAL_TEST (test_paused_compaction_conflicts_with_successor),
   };
 
   return cmocka_run_group_tests_name ("jobs journal", tests, NULL, NULL);
