--- a/core/path/balance.c
+++ b/core/path/balance.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* After so many draws without a free slot the pool is nearly full: a scan is cheaper. */
+/* If this many random draws find no free slot, the pool is nearly full and a scan is cheaper. */
 #define MAX_DRAWS 8
 
 /* xorshift64 */
 static uint64_t
-draw (struct mt_balance_state *state)
+next_random (struct mt_balance_state *state)
 {
   state->random_state ^= state->random_state << 13;
   state->random_state ^= state->random_state >> 7;
@@ -16,15 +16,15 @@
 }
 
 static bool
-is_free (const struct mt_balance_load *loads, size_t i, size_t avoid)
+has_free_slot (const struct mt_balance_load *loads, size_t i, size_t avoid)
 {
   return i != avoid && loads[i].in_flight < loads[i].usable_slots;
 }
 
-/* Not what the others have in flight: it is as old as their last heartbeat, many requests ago, and
- * all daemons at once would run after the same minions that looked idle then. */
+/* Excludes what the other daemons have in flight: that number is as old as their last heartbeat,
+ * many requests ago, and all daemons at once would choose the same minions that were idle then. */
 static unsigned
-weigh (const struct mt_balance_load *load)
+effective_load (const struct mt_balance_load *load)
 {
   return load->in_flight + load->penalty;
 }
@@ -39,7 +39,7 @@
     {
       size_t i = (state->cursor + step) % n;
 
-      if (!is_free (loads, i, avoid))
+      if (!has_free_slot (loads, i, avoid))
         continue;
       state->cursor = i + 1;
       return i;
@@ -47,8 +47,8 @@
   return MT_BALANCE_NONE;
 }
 
-/* The scan starts anywhere: daemons that see equal loads would otherwise all choose the first
- * minion, which then refuses most of them. */
+/* The scan starts at a random minion: daemons that see equal loads would otherwise all choose the
+ * first minion, which then refuses most of their requests. */
 static size_t
 pick_least_in_flight (struct mt_balance_state *state,
                       const struct mt_balance_load *loads,
@@ -56,31 +56,31 @@
                       size_t avoid)
 {
   size_t best = MT_BALANCE_NONE;
-  size_t start = n > 0 ? draw (state) % n : 0;
+  size_t start = n > 0 ? next_random (state) % n : 0;
 
   for (size_t step = 0; step < n; step++)
     {
       size_t i = (start + step) % n;
 
-      if (!is_free (loads, i, avoid))
+      if (!has_free_slot (loads, i, avoid))
         continue;
-      if (best == MT_BALANCE_NONE || weigh (&loads[i]) < weigh (&loads[best]))
+      if (best == MT_BALANCE_NONE || effective_load (&loads[i]) < effective_load (&loads[best]))
         best = i;
     }
   return best;
 }
 
 static size_t
-draw_free (struct mt_balance_state *state,
-           const struct mt_balance_load *loads,
-           size_t n,
-           size_t avoid)
+draw_minion_with_free_slot (struct mt_balance_state *state,
+                            const struct mt_balance_load *loads,
+                            size_t n,
+                            size_t avoid)
 {
   for (int i = 0; i < MAX_DRAWS; i++)
     {
-      size_t candidate = draw (state) % n;
+      size_t candidate = next_random (state) % n;
 
-      if (is_free (loads, candidate, avoid))
+      if (has_free_slot (loads, candidate, avoid))
         return candidate;
     }
   return MT_BALANCE_NONE;
@@ -92,13 +92,13 @@
                   size_t n,
                   size_t avoid)
 {
-  size_t a = n > 0 ? draw_free (state, loads, n, avoid) : MT_BALANCE_NONE;
+  size_t a = n > 0 ? draw_minion_with_free_slot (state, loads, n, avoid) : MT_BALANCE_NONE;
   size_t b;
 
   if (a == MT_BALANCE_NONE)
     return pick_least_in_flight (state, loads, n, avoid);
-  b = draw_free (state, loads, n, avoid);
-  if (b == MT_BALANCE_NONE || weigh (&loads[a]) <= weigh (&loads[b]))
+  b = draw_minion_with_free_slot (state, loads, n, avoid);
+  if (b == MT_BALANCE_NONE || effective_load (&loads[a]) <= effective_load (&loads[b]))
     return a;
   return b;
 }
--- a/core/path/dispatch.c
+++ b/core/path/dispatch.c
@@ -7,21 +7,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define REFUSED_REST_US (20 * MT_MS)    /* a full minion gets nothing for so long */
-#define PENALTY_US      (1 * MT_SECOND) /* a failure counts as load for so long */
-#define BORROW_REST_US  (1 * MT_SECOND) /* and its borrowed slots are left for so long */
+#define REFUSAL_BACKOFF_US (20 * MT_MS)    /* time without requests after a refusal */
+#define PENALTY_US         (1 * MT_SECOND) /* time for which a failure counts as load */
+#define BORROW_BACKOFF_US  (1 * MT_SECOND) /* time without borrowed slots after a refusal */
 
 struct minion
 {
   char *name;
   char *address;
   uint64_t key;
-  size_t index; /* of its load */
+  size_t index; /* in minions and loads */
   unsigned slots;
   unsigned connections;
-  bool present; /* in the tables now */
-  bool leaving; /* by its own word */
-  int64_t closed_until_us;
+  bool present; /* in the current tables */
+  bool leaving; /* the minion announced it */
+  int64_t refused_until_us;
   int64_t borrow_from_us;
   struct mt_health health;
 };
@@ -31,22 +31,22 @@
   const struct mt_clock *clock;
   const struct mt_dispatch_callbacks *callbacks;
   const struct mt_balance *policy;
-  struct mt_balance_state state;
+  struct mt_balance_state balance_state;
   GHashTable *by_name; /* name -> struct minion */
-  GPtrArray *minions;  /* the same, in the order of the loads */
+  GPtrArray *minions;  /* the same minions, indexed as loads is */
   GArray *loads;       /* of struct mt_balance_load */
   struct mt_share share;
-  /* Slots, over all minions. */
+  /* Sums over all minions; n_free and n_usable count slots. */
   unsigned n_free;
   unsigned n_usable;
   unsigned in_flight;
-  /* Of those in the tables. */
+  /* Sums over the minions in the current tables. */
   unsigned n_present;
-  unsigned ejected;
-  uint64_t failing_sum;
-  int64_t wake_us; /* the next time at which a minion's usable slots change by themselves */
-  struct mt_service_time service;
-  struct mt_retry_budget retries;
+  unsigned n_ejected;
+  uint64_t failure_rate_sum;
+  int64_t next_refresh_us; /* when usable slots or penalties next change without a call */
+  struct mt_service_time service_time;
+  struct mt_retry_budget retry_budget;
   struct mt_fair_queue *queue;
 };
 
@@ -61,95 +61,95 @@
 }
 
 static struct mt_balance_load *
-load_of (const struct mt_dispatch *dispatch, const struct minion *minion)
+get_load (const struct mt_dispatch *dispatch, const struct minion *minion)
 {
   return &g_array_index (dispatch->loads, struct mt_balance_load, minion->index);
 }
 
 static unsigned
-count_free (const struct mt_balance_load *load)
+count_free_slots (const struct mt_balance_load *load)
 {
   return load->usable_slots > load->in_flight ? load->usable_slots - load->in_flight : 0;
 }
 
 static void
-wake_at (struct mt_dispatch *dispatch, int64_t when_us, int64_t now_us)
+schedule_refresh (struct mt_dispatch *dispatch, int64_t when_us, int64_t now_us)
 {
   if (when_us > now_us)
-    dispatch->wake_us = MIN (dispatch->wake_us, when_us);
+    dispatch->next_refresh_us = MIN (dispatch->next_refresh_us, when_us);
 }
 
 static unsigned
-work_out_usable (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
+compute_usable_slots (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
 {
   enum mt_health_state health = mt_health_state (&minion->health, now_us);
 
   if (!minion->present || minion->leaving)
     return 0;
-  wake_at (dispatch, minion->closed_until_us, now_us);
-  wake_at (dispatch, minion->borrow_from_us, now_us);
+  schedule_refresh (dispatch, minion->refused_until_us, now_us);
+  schedule_refresh (dispatch, minion->borrow_from_us, now_us);
   if (health == MT_HEALTH_EJECTED)
-    wake_at (dispatch, minion->health.probe_from_us, now_us);
-  if (health == MT_HEALTH_EJECTED || minion->closed_until_us > now_us)
+    schedule_refresh (dispatch, minion->health.probe_from_us, now_us);
+  if (health == MT_HEALTH_EJECTED || minion->refused_until_us > now_us)
     return 0;
   if (health == MT_HEALTH_PROBING)
     return 1;
   if (minion->borrow_from_us > now_us)
     return mt_share_own (dispatch->share, minion->slots, minion->key);
   return mt_share_with_borrowed (dispatch->share, minion->slots, minion->key,
-                                 load_of (dispatch, minion)->others_in_flight);
+                                 get_load (dispatch, minion)->others_in_flight);
 }
 
-/* Recent failures count as load, so that an idle look attracts nothing before the ejection decides.
- * They are forgotten after a moment, and don't count against a probe: a minion that gets no request
- * could never show that it is well again. */
+/* Recent failures count as load, so that a failing minion that looks idle attracts no requests
+ * before it is ejected. They expire after PENALTY_US and do not count against a probe: a minion
+ * that gets no requests could never show that it has recovered. */
 static unsigned
-work_out_penalty (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
+compute_penalty (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
 {
   int64_t until_us = minion->health.last_failure_us + PENALTY_US;
 
   if (minion->health.failure_rate == 0 || minion->health.ejected || until_us <= now_us)
     return 0;
-  wake_at (dispatch, until_us, now_us);
+  schedule_refresh (dispatch, until_us, now_us);
   return minion->health.failure_rate * minion->slots / MT_HEALTH_MAX_FAILURE_RATE;
 }
 
 static void
 refresh_minion (struct mt_dispatch *dispatch, const struct minion *minion, int64_t now_us)
 {
-  struct mt_balance_load *load = load_of (dispatch, minion);
+  struct mt_balance_load *load = get_load (dispatch, minion);
 
-  dispatch->n_free -= count_free (load);
+  dispatch->n_free -= count_free_slots (load);
   dispatch->n_usable -= load->usable_slots;
-  load->usable_slots = work_out_usable (dispatch, minion, now_us);
-  load->penalty = work_out_penalty (dispatch, minion, now_us);
+  load->usable_slots = compute_usable_slots (dispatch, minion, now_us);
+  load->penalty = compute_penalty (dispatch, minion, now_us);
   dispatch->n_usable += load->usable_slots;
-  dispatch->n_free += count_free (load);
+  dispatch->n_free += count_free_slots (load);
 }
 
 static void
 refresh_all (struct mt_dispatch *dispatch, int64_t now_us)
 {
-  dispatch->wake_us = INT64_MAX;
+  dispatch->next_refresh_us = INT64_MAX;
   for (guint i = 0; i < dispatch->minions->len; i++)
     refresh_minion (dispatch, g_ptr_array_index (dispatch->minions, i), now_us);
 }
 
 static void
-count_in_flight (struct mt_dispatch *dispatch, const struct minion *minion, int by)
+add_in_flight (struct mt_dispatch *dispatch, const struct minion *minion, int delta)
 {
-  struct mt_balance_load *load = load_of (dispatch, minion);
+  struct mt_balance_load *load = get_load (dispatch, minion);
 
-  dispatch->n_free -= count_free (load);
-  load->in_flight += (unsigned) by;
-  dispatch->in_flight += (unsigned) by;
-  dispatch->n_free += count_free (load);
+  dispatch->n_free -= count_free_slots (load);
+  load->in_flight += (unsigned) delta;
+  dispatch->in_flight += (unsigned) delta;
+  dispatch->n_free += count_free_slots (load);
 }
 
 static size_t
-pick (struct mt_dispatch *dispatch, size_t avoid)
+pick_minion (struct mt_dispatch *dispatch, size_t avoid)
 {
-  return dispatch->policy->pick (&dispatch->state,
+  return dispatch->policy->pick (&dispatch->balance_state,
                                  (const struct mt_balance_load *) dispatch->loads->data,
                                  dispatch->loads->len, avoid);
 }
@@ -165,13 +165,13 @@
     return false;
   if (ticket->avoid != NULL)
     avoid = g_hash_table_lookup (dispatch->by_name, ticket->avoid);
-  i = pick (dispatch, avoid != NULL ? avoid->index : MT_BALANCE_NONE);
+  i = pick_minion (dispatch, avoid != NULL ? avoid->index : MT_BALANCE_NONE);
   if (i == MT_BALANCE_NONE)
-    i = pick (dispatch, MT_BALANCE_NONE);
+    i = pick_minion (dispatch, MT_BALANCE_NONE);
   if (i == MT_BALANCE_NONE)
     return false;
   minion = g_ptr_array_index (dispatch->minions, i);
-  count_in_flight (dispatch, minion, 1);
+  add_in_flight (dispatch, minion, 1);
   ticket->minion = minion->name;
   ticket->address = minion->address;
   ticket->connections = MAX (minion->connections / MAX (dispatch->share.daemons, 1), 1);
@@ -180,30 +180,32 @@
 }
 
 static void
-give_up (struct mt_dispatch *dispatch, struct mt_ticket *ticket, enum mt_refusal refusal)
+expire_ticket (struct mt_dispatch *dispatch, struct mt_ticket *ticket, enum mt_refusal refusal)
 {
   ticket->refusal = refusal;
   dispatch->callbacks->expired (ticket);
 }
 
-/* What still runs on minions that take nothing new frees no slot for anybody who waits. */
+/* Whether a queued ticket may get a slot before until_us. Requests in flight on minions that accept
+ * no new work free no slot for it. */
 static bool
-has_hope (const struct mt_dispatch *dispatch, int64_t until_us)
+may_get_slot (const struct mt_dispatch *dispatch, int64_t until_us)
 {
-  return dispatch->n_usable > 0 || dispatch->wake_us < until_us;
+  return dispatch->n_usable > 0 || dispatch->next_refresh_us < until_us;
 }
 
 static void
-grant_waiters (struct mt_dispatch *dispatch, int64_t now_us)
+grant_queued (struct mt_dispatch *dispatch, int64_t now_us)
 {
   struct mt_fair_item *item;
 
-  if (now_us >= dispatch->wake_us)
+  if (now_us >= dispatch->next_refresh_us)
     refresh_all (dispatch, now_us);
   while ((item = mt_fair_queue_pop_expired (dispatch->queue, now_us)) != NULL)
-    give_up (dispatch, item->owner, MT_REFUSAL_DEADLINE);
-  while (!has_hope (dispatch, INT64_MAX) && (item = mt_fair_queue_pop (dispatch->queue)) != NULL)
-    give_up (dispatch, item->owner, MT_REFUSAL_NO_MINION);
+    expire_ticket (dispatch, item->owner, MT_REFUSAL_DEADLINE);
+  while (!may_get_slot (dispatch, INT64_MAX)
+         && (item = mt_fair_queue_pop (dispatch->queue)) != NULL)
+    expire_ticket (dispatch, item->owner, MT_REFUSAL_NO_MINION);
   while (dispatch->n_free > 0 && (item = mt_fair_queue_pop (dispatch->queue)) != NULL)
     {
       struct mt_ticket *ticket = item->owner;
@@ -211,7 +213,7 @@
       if (try_grant (dispatch, ticket))
         dispatch->callbacks->granted (ticket);
       else
-        give_up (dispatch, ticket, MT_REFUSAL_NO_MINION);
+        expire_ticket (dispatch, ticket, MT_REFUSAL_NO_MINION);
     }
 }
 
@@ -226,13 +228,13 @@
   dispatch->clock = clock;
   dispatch->callbacks = callbacks;
   dispatch->policy = policy != NULL ? policy : mt_balance_policies[0];
-  dispatch->state.random_state = seed | 1;
+  dispatch->balance_state.random_state = seed | 1;
   dispatch->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_minion);
   dispatch->minions = g_ptr_array_new ();
   dispatch->loads = g_array_new (FALSE, TRUE, sizeof (struct mt_balance_load));
   dispatch->share = (struct mt_share){ .daemons = 1 };
-  dispatch->wake_us = INT64_MAX;
-  mt_retry_budget_init (&dispatch->retries);
+  dispatch->next_refresh_us = INT64_MAX;
+  mt_retry_budget_init (&dispatch->retry_budget);
   dispatch->queue = mt_fair_queue_create ();
   return dispatch;
 }
@@ -263,9 +265,10 @@
   g_hash_table_insert (dispatch->by_name, minion->name, minion);
 }
 
-/* A minion back at a new address is a new one: what was known of the old one says nothing of it. */
+/* A minion that reappears at a new address is a new process: the health and the leaving state of
+ * the old one do not apply to it. */
 static void
-take_instance (struct mt_dispatch *dispatch, const struct mt_instance *instance)
+update_minion (struct mt_dispatch *dispatch, const struct mt_instance *instance)
 {
   struct minion *minion;
 
@@ -284,14 +287,14 @@
   minion->present = !instance->leaving;
 }
 
-/* The last one takes its place, so that the loads stay dense. */
+/* The last minion takes the freed index, so that the arrays stay dense. */
 static void
 remove_minion (struct mt_dispatch *dispatch, struct minion *minion)
 {
   struct minion *last = g_ptr_array_index (dispatch->minions, dispatch->minions->len - 1);
 
-  dispatch->n_free -= count_free (load_of (dispatch, minion));
-  dispatch->n_usable -= load_of (dispatch, minion)->usable_slots;
+  dispatch->n_free -= count_free_slots (get_load (dispatch, minion));
+  dispatch->n_usable -= get_load (dispatch, minion)->usable_slots;
   g_ptr_array_remove_index_fast (dispatch->minions, (guint) minion->index);
   g_array_remove_index_fast (dispatch->loads, (guint) minion->index);
   last->index = minion->index;
@@ -299,7 +302,7 @@
 }
 
 static void
-remove_gone (struct mt_dispatch *dispatch)
+remove_absent_minions (struct mt_dispatch *dispatch)
 {
   for (guint i = dispatch->minions->len; i > 0; i--)
     {
@@ -307,7 +310,7 @@
 
       if (!minion->present)
         minion->leaving = false;
-      if (!minion->present && load_of (dispatch, minion)->in_flight == 0)
+      if (!minion->present && get_load (dispatch, minion)->in_flight == 0)
         remove_minion (dispatch, minion);
     }
 }
@@ -326,23 +329,24 @@
   return n;
 }
 
-/* A pool of sick minions serves better than an empty one: half at most are out. */
+/* Reinstates minions until at most half are ejected: a pool of failing minions serves better than
+ * an empty one. */
 static void
-keep_half_in (struct mt_dispatch *dispatch)
+limit_ejections (struct mt_dispatch *dispatch)
 {
   dispatch->n_present = count_present (dispatch);
-  dispatch->ejected = 0;
-  dispatch->failing_sum = 0;
+  dispatch->n_ejected = 0;
+  dispatch->failure_rate_sum = 0;
   for (guint i = 0; i < dispatch->minions->len; i++)
     {
       struct minion *minion = g_ptr_array_index (dispatch->minions, i);
 
       if (!minion->present)
         continue;
-      if (minion->health.ejected && (dispatch->ejected + 1) * 2 > dispatch->n_present)
+      if (minion->health.ejected && (dispatch->n_ejected + 1) * 2 > dispatch->n_present)
         mt_health_reinstate (&minion->health);
-      dispatch->ejected += minion->health.ejected ? 1 : 0;
-      dispatch->failing_sum += minion->health.failure_rate;
+      dispatch->n_ejected += minion->health.ejected ? 1 : 0;
+      dispatch->failure_rate_sum += minion->health.failure_rate;
     }
 }
 
@@ -356,11 +360,11 @@
   for (guint i = 0; i < dispatch->minions->len; i++)
     ((struct minion *) g_ptr_array_index (dispatch->minions, i))->present = false;
   for (size_t i = 0; i < n; i++)
-    take_instance (dispatch, instances[i]);
-  remove_gone (dispatch);
-  keep_half_in (dispatch);
+    update_minion (dispatch, instances[i]);
+  remove_absent_minions (dispatch);
+  limit_ejections (dispatch);
   refresh_all (dispatch, now);
-  grant_waiters (dispatch, now);
+  grant_queued (dispatch, now);
 }
 
 void
@@ -376,11 +380,11 @@
     {
       const struct minion *minion = g_ptr_array_index (dispatch->minions, i);
 
-      load_of (dispatch, minion)->others_in_flight
+      get_load (dispatch, minion)->others_in_flight
           = others != NULL ? others (ctx, minion->name) : 0;
     }
   refresh_all (dispatch, now);
-  grant_waiters (dispatch, now);
+  grant_queued (dispatch, now);
 }
 
 void
@@ -412,12 +416,13 @@
     return;
   minion->leaving = false;
   refresh_minion (dispatch, minion, now);
-  grant_waiters (dispatch, now);
+  grant_queued (dispatch, now);
 }
 
-/* By what now holds slots: a pool whose minions are all full still works through its queue. */
+/* Slots in use count as well as free ones: a pool whose minions are all full still works through
+ * its queue. */
 static unsigned
-count_servers (const struct mt_dispatch *dispatch)
+count_busy_and_free_slots (const struct mt_dispatch *dispatch)
 {
   return MAX (dispatch->in_flight + dispatch->n_free, 1);
 }
@@ -425,46 +430,48 @@
 static int64_t
 estimate_wait (const struct mt_dispatch *dispatch, unsigned ahead)
 {
-  return (int64_t) (ahead + 1) * dispatch->service.mean_us / count_servers (dispatch);
+  return (int64_t) (ahead + 1) * dispatch->service_time.mean_us
+         / count_busy_and_free_slots (dispatch);
 }
 
-/* A request that gets its slot later than this would as likely as not be answered too late, and so
- * would take the slot from one that has time. Half of what is left at most, so that a short
- * deadline still gets its chance. */
+/* A request that gets its slot later than this would as likely as not miss its deadline, and would
+ * take the slot from a request that can still meet its own. The margin is at most half of the
+ * remaining time, so that a request with a short deadline still gets a chance. */
 static int64_t
-time_to_give_up (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket, int64_t now_us)
+compute_expiry (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket, int64_t now_us)
 {
-  int64_t needed = mt_service_time_upper_estimate_us (&dispatch->service);
+  int64_t needed = mt_service_time_upper_estimate_us (&dispatch->service_time);
 
   return ticket->deadline_us - MIN (needed, (ticket->deadline_us - now_us) / 2);
 }
 
-/* Only asked where no slot is free, so that there are samples coming: an estimate that is too high
- * refuses nobody while the pool is idle, and is soon corrected while it isn't. */
+/* Called only when no slot is free, so that new service time samples are coming: an estimate that
+ * is too high refuses no requests while the pool is idle, and is soon corrected while the pool is
+ * busy. */
 static enum mt_refusal
-judge (const struct mt_dispatch *dispatch,
-       const struct mt_ticket *ticket,
-       unsigned queue_limit,
-       int64_t now_us)
+check_admission (const struct mt_dispatch *dispatch,
+                 const struct mt_ticket *ticket,
+                 unsigned queue_limit,
+                 int64_t now_us)
 {
   unsigned ahead;
 
-  if (!has_hope (dispatch, time_to_give_up (dispatch, ticket, now_us)))
+  if (!may_get_slot (dispatch, compute_expiry (dispatch, ticket, now_us)))
     return MT_REFUSAL_NO_MINION;
   if (mt_fair_queue_length (dispatch->queue) >= queue_limit)
     return MT_REFUSAL_QUEUE_FULL;
   ahead = mt_fair_queue_count_ahead (dispatch->queue, ticket->audience);
-  if (now_us + estimate_wait (dispatch, ahead) >= time_to_give_up (dispatch, ticket, now_us))
+  if (now_us + estimate_wait (dispatch, ahead) >= compute_expiry (dispatch, ticket, now_us))
     return MT_REFUSAL_DEADLINE;
   return MT_REFUSAL_NONE;
 }
 
 static bool
-pay_for_try (struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
+charge_retry_budget (struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
 {
   if (ticket->is_retry)
-    return mt_retry_budget_take (&dispatch->retries);
-  mt_retry_budget_deposit (&dispatch->retries);
+    return mt_retry_budget_take (&dispatch->retry_budget);
+  mt_retry_budget_deposit (&dispatch->retry_budget);
   return true;
 }
 
@@ -476,49 +483,49 @@
   ticket->refusal = MT_REFUSAL_NONE;
   if (now >= ticket->deadline_us)
     ticket->refusal = MT_REFUSAL_DEADLINE;
-  else if (!pay_for_try (dispatch, ticket))
+  else if (!charge_retry_budget (dispatch, ticket))
     ticket->refusal = MT_REFUSAL_RETRY_BUDGET;
   if (ticket->refusal != MT_REFUSAL_NONE)
     return MT_ADMISSION_REFUSED;
-  grant_waiters (dispatch, now);
+  grant_queued (dispatch, now);
   if (try_grant (dispatch, ticket))
     return MT_ADMISSION_GRANTED;
-  ticket->refusal = judge (dispatch, ticket, queue_limit, now);
+  ticket->refusal = check_admission (dispatch, ticket, queue_limit, now);
   if (ticket->refusal != MT_REFUSAL_NONE)
     return MT_ADMISSION_REFUSED;
   ticket->item = (struct mt_fair_item){ .audience = ticket->audience,
-                                        .expires_us = time_to_give_up (dispatch, ticket, now),
+                                        .expires_us = compute_expiry (dispatch, ticket, now),
                                         .owner = ticket };
   mt_fair_queue_push (dispatch->queue, &ticket->item);
   return MT_ADMISSION_QUEUED;
 }
 
 static void
-learn_health (struct mt_dispatch *dispatch,
-              struct minion *minion,
-              enum mt_dispatch_result result,
-              int64_t now_us)
+update_health (struct mt_dispatch *dispatch,
+               struct minion *minion,
+               enum mt_dispatch_result result,
+               int64_t now_us)
 {
   struct mt_health *health = &minion->health;
   unsigned present = minion->present ? dispatch->n_present : 0;
-  uint64_t others = dispatch->failing_sum - (minion->present ? health->failure_rate : 0);
+  uint64_t others = dispatch->failure_rate_sum - (minion->present ? health->failure_rate : 0);
   unsigned mean = present > 1 ? (unsigned) (others / (present - 1)) : 0;
-  bool was = health->ejected;
-  bool out = mt_health_record_answer (health, result == MT_DISPATCH_SUCCESS, mean, now_us);
+  bool was_ejected = health->ejected;
+  bool should_eject = mt_health_record_answer (health, result == MT_DISPATCH_SUCCESS, mean, now_us);
 
-  if (out && (was || (present > 0 && (dispatch->ejected + 1) * 2 <= present)))
+  if (should_eject && (was_ejected || (present > 0 && (dispatch->n_ejected + 1) * 2 <= present)))
     mt_health_eject (health, now_us);
   if (!minion->present)
     return;
-  dispatch->failing_sum = others + health->failure_rate;
-  dispatch->ejected += (health->ejected ? 1U : 0U) - (was ? 1U : 0U);
+  dispatch->failure_rate_sum = others + health->failure_rate;
+  dispatch->n_ejected += (health->ejected ? 1U : 0U) - (was_ejected ? 1U : 0U);
 }
 
 static void
-learn_refusal (struct minion *minion, int64_t now_us)
+handle_refusal (struct minion *minion, int64_t now_us)
 {
-  minion->closed_until_us = now_us + REFUSED_REST_US;
-  minion->borrow_from_us = now_us + BORROW_REST_US;
+  minion->refused_until_us = now_us + REFUSAL_BACKOFF_US;
+  minion->borrow_from_us = now_us + BORROW_BACKOFF_US;
 }
 
 void
@@ -529,18 +536,18 @@
   struct minion *minion = g_hash_table_lookup (dispatch->by_name, ticket->minion);
   int64_t now = mt_clock_now (dispatch->clock);
 
-  count_in_flight (dispatch, minion, -1);
+  add_in_flight (dispatch, minion, -1);
   if (result == MT_DISPATCH_REFUSED)
-    learn_refusal (minion, now);
+    handle_refusal (minion, now);
   else if (result != MT_DISPATCH_UNUSED)
-    learn_health (dispatch, minion, result, now);
-  /* Errors may be fast and refusals always are: only real work tells how long work takes. */
+    update_health (dispatch, minion, result, now);
+  /* Errors may be fast and refusals always are: neither gives a service time sample. */
   if (result == MT_DISPATCH_SUCCESS || result == MT_DISPATCH_LOST)
-    mt_service_time_add_sample (&dispatch->service, now - ticket->granted_us);
+    mt_service_time_add_sample (&dispatch->service_time, now - ticket->granted_us);
   refresh_minion (dispatch, minion, now);
   ticket->minion = NULL;
   ticket->address = NULL;
-  grant_waiters (dispatch, now);
+  grant_queued (dispatch, now);
 }
 
 void
@@ -553,13 +560,13 @@
 void
 mt_dispatch_tick (struct mt_dispatch *dispatch)
 {
-  grant_waiters (dispatch, mt_clock_now (dispatch->clock));
+  grant_queued (dispatch, mt_clock_now (dispatch->clock));
 }
 
 int64_t
 mt_dispatch_next_tick_us (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket)
 {
-  return MIN (ticket->item.expires_us, dispatch->wake_us);
+  return MIN (ticket->item.expires_us, dispatch->next_refresh_us);
 }
 
 unsigned
@@ -576,7 +583,7 @@
   if (name == NULL)
     return dispatch->in_flight;
   minion = g_hash_table_lookup (dispatch->by_name, name);
-  return minion != NULL ? load_of (dispatch, minion)->in_flight : 0;
+  return minion != NULL ? get_load (dispatch, minion)->in_flight : 0;
 }
 
 unsigned
@@ -587,13 +594,13 @@
   if (name == NULL)
     return dispatch->n_usable;
   minion = g_hash_table_lookup (dispatch->by_name, name);
-  return minion != NULL ? load_of (dispatch, minion)->usable_slots : 0;
+  return minion != NULL ? get_load (dispatch, minion)->usable_slots : 0;
 }
 
 unsigned
 mt_dispatch_ejected_count (const struct mt_dispatch *dispatch)
 {
-  return dispatch->ejected;
+  return dispatch->n_ejected;
 }
 
 int64_t
@@ -605,7 +612,7 @@
 int64_t
 mt_dispatch_service_us (const struct mt_dispatch *dispatch)
 {
-  return dispatch->service.mean_us;
+  return dispatch->service_time.mean_us;
 }
 
 void
@@ -617,6 +624,6 @@
     {
       const struct minion *minion = g_ptr_array_index (dispatch->minions, i);
 
-      visit (ctx, minion->name, load_of (dispatch, minion)->in_flight);
+      visit (ctx, minion->name, get_load (dispatch, minion)->in_flight);
     }
 }
--- a/core/path/ejection.c
+++ b/core/path/ejection.c
@@ -1,30 +1,30 @@
 #include "medlartrack/ejection.h"
 
-#define STREAK       5   /* failures in a row */
-#define SICK         500 /* moving mean of failures */
-#define WEIGHT       8   /* of the moving mean: one answer counts an eighth */
-#define PROBES       3   /* that must go well in a row */
-#define FIRST_OUT_US (1 * MT_SECOND)
-#define MAX_DOUBLED  5
+#define EJECT_CONSECUTIVE_FAILURES 5
+#define EJECT_FAILURE_RATE         500 /* in thousandths */
+#define WEIGHT                     8   /* of the moving mean: one answer counts an eighth */
+#define REINSTATE_PROBES           3   /* consecutive successes */
+#define FIRST_EJECTION_US          (1 * MT_SECOND)
+#define MAX_BACKOFF_EXPONENT       5
 
 static bool
-note_probe (struct mt_health *health, bool good)
+record_probe (struct mt_health *health, bool good)
 {
   if (!good)
     return true;
   health->probe_successes++;
-  if (health->probe_successes >= PROBES)
+  if (health->probe_successes >= REINSTATE_PROBES)
     mt_health_reinstate (health);
   return false;
 }
 
-/* Fast errors make a minion look idle, and a policy that prefers the idle one would send it all
- * work. Where all minions fail alike the cause isn't theirs, and ejecting some would only take
- * capacity away: a minion has to be twice as bad as the others. */
+/* A minion that fails fast looks idle, and a policy that prefers idle minions would send it all
+ * requests. If all minions fail alike the cause is elsewhere, and ejecting some would only reduce
+ * capacity: a minion is ejected only if it fails more than twice as often as the others. */
 bool
 mt_health_record_answer (struct mt_health *health,
                          bool good,
-                         unsigned others_failing,
+                         unsigned others_failure_rate,
                          int64_t now_us)
 {
   unsigned sample = good ? 0 : MT_HEALTH_MAX_FAILURE_RATE;
@@ -34,10 +34,11 @@
   if (!good)
     health->last_failure_us = now_us;
   if (health->ejected)
-    return note_probe (health, good);
-  if (health->consecutive_failures < STREAK && health->failure_rate < SICK)
+    return record_probe (health, good);
+  if (health->consecutive_failures < EJECT_CONSECUTIVE_FAILURES
+      && health->failure_rate < EJECT_FAILURE_RATE)
     return false;
-  return !good && health->failure_rate > 2 * others_failing;
+  return !good && health->failure_rate > 2 * others_failure_rate;
 }
 
 void
@@ -45,8 +46,8 @@
 {
   health->ejected = true;
   health->probe_successes = 0;
-  health->probe_from_us = now_us + (FIRST_OUT_US << health->backoff_exponent);
-  if (health->backoff_exponent < MAX_DOUBLED)
+  health->probe_from_us = now_us + (FIRST_EJECTION_US << health->backoff_exponent);
+  if (health->backoff_exponent < MAX_BACKOFF_EXPONENT)
     health->backoff_exponent++;
 }
 
--- a/core/path/service_time.c
+++ b/core/path/service_time.c
@@ -2,11 +2,11 @@
 
 #include <glib.h>
 
-/* A straggler in a trough, where samples are few, must not spoil the estimate for the next surge: a
- * sample counts a sixteenth, and as four times the mean at most. */
-#define WEIGHT        16
-#define CLAMP_FACTOR  4
-#define SPREAD_FACTOR 2
+/* A single slow request at low load, when samples are few, must not distort the estimate for the
+ * next load peak: a sample counts a sixteenth, and as four times the mean at most. */
+#define WEIGHT           16
+#define CLAMP_FACTOR     4
+#define DEVIATION_FACTOR 2
 
 void
 mt_service_time_add_sample (struct mt_service_time *service, int64_t sample_us)
@@ -26,5 +26,5 @@
 int64_t
 mt_service_time_upper_estimate_us (const struct mt_service_time *service)
 {
-  return service->mean_us + SPREAD_FACTOR * service->mean_deviation_us;
+  return service->mean_us + DEVIATION_FACTOR * service->mean_deviation_us;
 }
--- a/core/path/share.c
+++ b/core/path/share.c
@@ -11,9 +11,9 @@
   return own > 0 || slots == 0 ? own : 1;
 }
 
-/* What the others report is as old as their last heartbeat. Taking all that looks unused would let
- * two daemons that meet a surge together fill the same slots; half leaves the next one room, and
- * the minion's own refusal ends a borrowing that went too far. */
+/* The other daemons' numbers are as old as their last heartbeat. If each daemon took all slots that
+ * look unused, two daemons that see a load peak at once would fill the same slots. Taking half
+ * leaves capacity for the next daemon, and a refusal by the minion ends excessive borrowing. */
 unsigned
 mt_share_with_borrowed (struct mt_share share, unsigned slots, uint64_t key, unsigned others)
 {
--- a/include/medlartrack/balance.h
+++ b/include/medlartrack/balance.h
@@ -1,4 +1,5 @@
-/* Policies that choose the minion for a request. Pure functions over an array of loads. */
+/* Load-balancing policies that choose the minion for a request. Pure functions over an array of
+ * loads. */
 #ifndef MEDLARTRACK_BALANCE_H
 #define MEDLARTRACK_BALANCE_H
 
@@ -10,13 +11,13 @@
 
 struct mt_balance_load
 {
-  unsigned usable_slots;     /* slots that this daemon may fill; 0 takes nothing */
-  unsigned in_flight;        /* by this daemon */
-  unsigned others_in_flight; /* in flight by other daemons, as they last said */
-  unsigned penalty;          /* counts as so many more in flight: recent failures */
+  unsigned usable_slots;     /* slots that this daemon may use; 0: the minion gets no requests */
+  unsigned in_flight;        /* requests of this daemon */
+  unsigned others_in_flight; /* requests of the other daemons, as last reported */
+  unsigned penalty;          /* for recent failures; counts as this many requests in flight */
 };
 
-/* Random numbers and the place in the turn; each user of a policy has its own. */
+/* Random state and round-robin position. Each user of a policy has its own. */
 struct mt_balance_state
 {
   uint64_t random_state; /* not 0 */
@@ -27,7 +28,7 @@
 {
   const char *name;
   const char *description;
-  /* A minion with a free slot that is not `avoid`, or MT_BALANCE_NONE. */
+  /* Returns the index of a minion with a free slot other than `avoid`, or MT_BALANCE_NONE. */
   size_t (*pick) (struct mt_balance_state *state,
                   const struct mt_balance_load *loads,
                   size_t n,
@@ -38,9 +39,9 @@
 extern const struct mt_balance mt_balance_least_in_flight;
 extern const struct mt_balance mt_balance_two_choices;
 
-/* Ends with NULL; the first is the default. */
+/* NULL-terminated; the first is the default. */
 extern const struct mt_balance *const mt_balance_policies[];
-/* By name, or NULL. */
+/* Returns the policy of this name, or NULL. */
 const struct mt_balance *mt_balance_find (const char *name);
 
 #endif
--- a/include/medlartrack/dispatch.h
+++ b/include/medlartrack/dispatch.h
@@ -1,5 +1,6 @@
-/* One pool as one daemon sees it: its minions' slots and the queue before them. Decides who runs
- * where and who is refused. Not thread-safe: the owner holds a lock around every call. */
+/* Request dispatch for one pool, by one daemon: the slots of the pool's minions and the queue of
+ * requests that wait for a slot. Decides which minion serves a request and which requests are
+ * refused. Not thread-safe: the owner holds a lock around every call. */
 #ifndef MEDLARTRACK_DISPATCH_H
 #define MEDLARTRACK_DISPATCH_H
 
@@ -14,105 +15,109 @@
 enum mt_refusal
 {
   MT_REFUSAL_NONE,
-  MT_REFUSAL_NO_MINION,    /* none takes work */
-  MT_REFUSAL_QUEUE_FULL,   /* as many wait as the route allows */
-  MT_REFUSAL_DEADLINE,     /* could not be answered by its deadline any more */
-  MT_REFUSAL_RETRY_BUDGET, /* retries are too large a part of the load already */
+  MT_REFUSAL_NO_MINION,    /* no minion accepts work */
+  MT_REFUSAL_QUEUE_FULL,   /* the queue has reached the route's limit */
+  MT_REFUSAL_DEADLINE,     /* cannot be answered before its deadline */
+  MT_REFUSAL_RETRY_BUDGET, /* the retry budget is spent */
 };
 
-/* A request that asks for a slot; the caller owns it and keeps it until done or refused. */
+/* A request for a slot. The caller owns it and keeps it until it is completed, refused, expired or
+ * cancelled. */
 struct mt_ticket
 {
-  uint64_t audience; /* callers of one audience share one queue */
+  uint64_t audience; /* requests of one audience share one FIFO queue */
   int64_t deadline_us;
-  const char *avoid; /* minion that just failed this request, or NULL */
-  bool is_retry;     /* a retry: it needs a token of the retry budget */
+  const char *avoid; /* minion that failed the previous attempt, or NULL */
+  bool is_retry;     /* takes a token from the retry budget */
   void *owner;
-  /* Set once granted. */
+  /* Set when a slot is granted. */
   char *minion; /* name; owned by the dispatch until mt_dispatch_complete */
   const char *address;
-  unsigned connections; /* this daemon's part of the minion's limit */
+  unsigned connections; /* this daemon's share of the minion's connection limit */
   int64_t granted_us;
-  /* Set once refused or expired. */
+  /* Set when refused or expired. */
   enum mt_refusal refusal;
-  /* The dispatch's own. */
+  /* Internal to the dispatch. */
   struct mt_fair_item item;
 };
 
 enum mt_dispatch_admission
 {
   MT_ADMISSION_GRANTED, /* the ticket holds a slot */
-  MT_ADMISSION_QUEUED,  /* queued; granted or expired through the callbacks */
-  MT_ADMISSION_REFUSED, /* not queued; the ticket's refusal tells why */
+  MT_ADMISSION_QUEUED,  /* queued; a callback reports the grant or the expiry */
+  MT_ADMISSION_REFUSED, /* not queued; the ticket's refusal gives the reason */
 };
 
 enum mt_dispatch_result
 {
-  MT_DISPATCH_SUCCESS,      /* a whole answer that isn't the minion's own failure */
-  MT_DISPATCH_SERVER_ERROR, /* a whole answer that is (5xx) */
+  MT_DISPATCH_SUCCESS,      /* complete response other than 5xx */
+  MT_DISPATCH_SERVER_ERROR, /* complete response with status 5xx */
   MT_DISPATCH_NOT_SENT,     /* could not connect */
-  MT_DISPATCH_LOST,         /* cut, late or crossed */
-  MT_DISPATCH_REFUSED,      /* the minion says that it did not run it: its slots are full */
-  MT_DISPATCH_UNUSED,       /* nothing was sent: says nothing of the minion */
+  MT_DISPATCH_LOST,         /* response incomplete, late or for another request */
+  MT_DISPATCH_REFUSED,      /* the minion did not run the request: its slots are full */
+  MT_DISPATCH_UNUSED,       /* nothing was sent; does not affect the minion's health */
 };
 
 struct mt_dispatch_callbacks
 {
   const char *name;
   const char *description;
-  /* A waiting ticket got its slot, or was given up on; called inside the dispatch's own calls. */
+  /* granted: a queued ticket got a slot. expired: a queued ticket was dropped. Both are called from
+   * within the dispatch's functions. */
   void (*granted) (struct mt_ticket *ticket);
   void (*expired) (struct mt_ticket *ticket);
 };
 
-/* seed: of the random choices; daemons need different ones. */
+/* seed: for random choices; must differ between daemons. */
 struct mt_dispatch *mt_dispatch_create (const struct mt_clock *clock,
                                         const struct mt_dispatch_callbacks *callbacks,
                                         const struct mt_balance *policy,
                                         uint64_t seed);
-/* Only once no ticket is left in it. */
+/* No ticket may be queued or hold a slot. */
 void mt_dispatch_destroy (struct mt_dispatch *dispatch);
 
-/* Takes the minions now in force; those gone finish what they run and get nothing new. */
+/* Replaces the set of minions. A removed minion finishes its requests in flight and gets no new
+ * ones. */
 void mt_dispatch_update (struct mt_dispatch *dispatch,
                          const struct mt_instance *const *instances,
                          size_t n);
-/* Takes this daemon's place among the live daemons of its data centre, and what the others have in
- * flight on each minion (others may be NULL: nothing known). */
+/* Sets this daemon's rank among the live daemons of its data centre, and reads from others() how
+ * many requests the other daemons have in flight on each minion. others may be NULL: unknown,
+ * counted as 0. */
 void mt_dispatch_set_share (struct mt_dispatch *dispatch,
                             struct mt_share share,
                             unsigned (*others) (void *ctx, const char *minion),
                             void *ctx);
-/* The minion itself said that it leaves: no new work until mt_dispatch_rejoin, a new address, or
- * its absence from an update. */
+/* Marks a minion that has announced its shutdown: it gets no new work until mt_dispatch_rejoin, a
+ * new address, or its absence from an update. */
 void mt_dispatch_set_leaving (struct mt_dispatch *dispatch, const char *name);
 bool mt_dispatch_is_leaving (const struct mt_dispatch *dispatch, const char *name);
 void mt_dispatch_rejoin (struct mt_dispatch *dispatch, const char *name);
 
 enum mt_dispatch_admission
 mt_dispatch_submit (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit);
-/* Gives the slot back and grants it to a waiter. */
+/* Releases the ticket's slot and grants free slots to queued tickets. */
 void mt_dispatch_complete (struct mt_dispatch *dispatch,
                            struct mt_ticket *ticket,
                            enum mt_dispatch_result result);
-/* Takes a waiting ticket out, such as one whose caller hung up. */
+/* Removes a queued ticket, for example when its caller disconnected. */
 void mt_dispatch_cancel (struct mt_dispatch *dispatch, struct mt_ticket *ticket);
-/* Does what the passing of time brings: gives up, probes, grants. Due at mt_dispatch_next_tick_us.
- */
+/* Handles timeouts: expires queued tickets, starts probes, grants slots. To be called at
+ * mt_dispatch_next_tick_us. */
 void mt_dispatch_tick (struct mt_dispatch *dispatch);
-/* When mt_dispatch_tick could next find something for this waiting ticket. */
+/* The earliest time at which mt_dispatch_tick can grant or expire this queued ticket. */
 int64_t mt_dispatch_next_tick_us (const struct mt_dispatch *dispatch,
                                   const struct mt_ticket *ticket);
 
 unsigned mt_dispatch_queue_length (const struct mt_dispatch *dispatch);
-/* In flight on one minion by this daemon, or on all with NULL. */
+/* Requests that this daemon has in flight on one minion, or on all minions if name is NULL. */
 unsigned mt_dispatch_in_flight (const struct mt_dispatch *dispatch, const char *name);
-/* Slots that this daemon may fill now, of one minion or of all with NULL. */
+/* Slots that this daemon may use now, on one minion or on all minions if name is NULL. */
 unsigned mt_dispatch_usable_slots (const struct mt_dispatch *dispatch, const char *name);
 unsigned mt_dispatch_ejected_count (const struct mt_dispatch *dispatch);
-/* How long the queue now waiting would take. */
+/* Estimated time to drain the current queue. */
 int64_t mt_dispatch_backlog_us (const struct mt_dispatch *dispatch);
-/* Moving mean of the time that a slot is taken; 0 before the first. */
+/* Moving mean of the time that a request holds its slot; 0 before the first sample. */
 int64_t mt_dispatch_service_us (const struct mt_dispatch *dispatch);
 void mt_dispatch_each (const struct mt_dispatch *dispatch,
                        void (*visit) (void *ctx, const char *minion, unsigned in_flight),
--- a/include/medlartrack/ejection.h
+++ b/include/medlartrack/ejection.h
@@ -1,5 +1,5 @@
-/* One minion's health as its answers show it: ejected when it fails much more than the others, and
- * returned by probes. Not thread-safe. */
+/* Health of one minion, judged by its answers: it is ejected when it fails much more often than the
+ * other minions, and reinstated by probes. Not thread-safe. */
 #ifndef MEDLARTRACK_EJECTION_H
 #define MEDLARTRACK_EJECTION_H
 
@@ -7,7 +7,7 @@
 
 #include <stdbool.h>
 
-#define MT_HEALTH_MAX_FAILURE_RATE 1000 /* every answer failed */
+#define MT_HEALTH_MAX_FAILURE_RATE 1000 /* in thousandths: every answer failed */
 
 enum mt_health_state
 {
@@ -18,20 +18,21 @@
 
 struct mt_health
 {
-  unsigned failure_rate;         /* moving mean of failures, thousandths */
-  unsigned consecutive_failures; /* failures in a row */
-  unsigned probe_successes;      /* of the probes now running */
-  unsigned backoff_exponent;     /* ejected in a row */
-  int64_t last_failure_us;       /* the last failure */
-  bool ejected;                  /* until enough probes went well */
-  int64_t probe_from_us;         /* from then on it is probed */
+  unsigned failure_rate; /* moving mean, in thousandths */
+  unsigned consecutive_failures;
+  unsigned probe_successes;  /* in the current probe phase */
+  unsigned backoff_exponent; /* raised by each ejection, lowered by each reinstatement */
+  int64_t last_failure_us;
+  bool ejected;          /* until enough probes succeed */
+  int64_t probe_from_us; /* probes start at this time */
 };
 
-/* Takes an answer in. others_failing: mean of the other minions', thousandths. True where the
- * minion should be ejected: the caller decides, since it knows how many already are. */
+/* Records one answer. others_failure_rate: mean failure rate of the other minions, in thousandths.
+ * Returns true if the minion should be ejected; the caller decides, since it knows how many minions
+ * are ejected already. */
 bool mt_health_record_answer (struct mt_health *health,
                               bool good,
-                              unsigned others_failing,
+                              unsigned others_failure_rate,
                               int64_t now_us);
 void mt_health_eject (struct mt_health *health, int64_t now_us);
 void mt_health_reinstate (struct mt_health *health);
