--- a/tests/path/prop_dispatch.cpp
+++ b/tests/path/prop_dispatch.cpp
@@ -42,7 +42,7 @@
   World *world = nullptr;
   mt_ticket ticket = {};
   State state = State::Waiting;
-  unsigned answers = 0; /* granted, expired, refused or cancelled */
+  unsigned n_outcomes = 0; /* number of grants, expiries, refusals and cancellations */
 };
 
 void
@@ -52,7 +52,7 @@
   const char *name = call->ticket.minion;
 
   call->state = State::Running;
-  call->answers++;
+  call->n_outcomes++;
   RC_ASSERT (name != nullptr);
   RC_ASSERT (mt_dispatch_in_flight (world->dispatch, name)
              <= mt_share_with_borrowed (world->share, kSlots, 0, 0) + 1);
@@ -73,13 +73,13 @@
   auto *call = static_cast<Call *> (ticket->owner);
 
   call->state = State::Ended;
-  call->answers++;
+  call->n_outcomes++;
 }
 
-const mt_dispatch_callbacks kCallbacks = { "model", "notes what happens", on_granted, on_expired };
+const mt_dispatch_callbacks kCallbacks = { "model", "records the calls", on_granted, on_expired };
 
 unsigned
-tell_others (void *ctx, const char *minion)
+get_others_in_flight (void *ctx, const char *minion)
 {
   return static_cast<World *> (ctx)->others[minion];
 }
@@ -106,14 +106,14 @@
 }
 
 void
-ask (World &world, unsigned audience, unsigned within_ms, bool again)
+submit (World &world, unsigned audience, unsigned within_ms, bool is_retry)
 {
   auto call = std::make_unique<Call> ();
 
   call->world = &world;
   call->ticket.owner = call.get ();
   call->ticket.audience = audience;
-  call->ticket.is_retry = again;
+  call->ticket.is_retry = is_retry;
   call->ticket.deadline_us
       = mt_clock_now (mt_clock_manual_clock (world.manual)) + within_ms * MT_MS;
   switch (mt_dispatch_submit (world.dispatch, &call->ticket, kQueue))
@@ -124,7 +124,7 @@
     case MT_ADMISSION_REFUSED:
       RC_ASSERT (call->ticket.refusal != MT_REFUSAL_NONE);
       call->state = State::Ended;
-      call->answers++;
+      call->n_outcomes++;
       break;
     case MT_ADMISSION_QUEUED:
       break;
@@ -133,7 +133,7 @@
 }
 
 Call *
-nth (World &world, State state, unsigned n)
+find_nth (World &world, State state, unsigned n)
 {
   std::vector<Call *> found;
 
@@ -146,7 +146,7 @@
 void
 finish (World &world, unsigned n, unsigned result)
 {
-  Call *call = nth (world, State::Running, n);
+  Call *call = find_nth (world, State::Running, n);
 
   if (call == nullptr)
     return;
@@ -158,13 +158,13 @@
 void
 cancel (World &world, unsigned n)
 {
-  Call *call = nth (world, State::Waiting, n);
+  Call *call = find_nth (world, State::Waiting, n);
 
   if (call == nullptr)
     return;
   mt_dispatch_cancel (world.dispatch, &call->ticket);
   call->state = State::Ended;
-  call->answers++;
+  call->n_outcomes++;
 }
 
 void
@@ -173,14 +173,14 @@
   world.share = { 1 + a % kSlots, b % (1 + a % kSlots) };
   for (unsigned i = 0; i < kMinions; i++)
     world.others["m" + std::to_string (i)] = (a + b * i) % (kSlots + 1);
-  mt_dispatch_set_share (world.dispatch, world.share, tell_others, &world);
+  mt_dispatch_set_share (world.dispatch, world.share, get_others_in_flight, &world);
 }
 
 void
 step (World &world, unsigned op, unsigned a, unsigned b)
 {
   if (op < 8)
-    ask (world, a % 6, 1 + b % 200, op == 7);
+    submit (world, a % 6, 1 + b % 200, op == 7);
   else if (op < 14)
     finish (world, a, b);
   else if (op == 14)
@@ -198,7 +198,7 @@
     }
 }
 
-/* What is counted outside equals what the dispatch says, whatever came before. */
+/* The model's counts must equal the dispatch's after every operation. */
 void
 check_conserved (World &world)
 {
@@ -209,20 +209,21 @@
     {
       running += call->state == State::Running ? 1 : 0;
       waiting += call->state == State::Waiting ? 1 : 0;
-      RC_ASSERT (call->answers == (call->state == State::Waiting ? 0U : 1U));
+      RC_ASSERT (call->n_outcomes == (call->state == State::Waiting ? 0U : 1U));
     }
   RC_ASSERT (mt_dispatch_in_flight (world.dispatch, nullptr) == running);
   RC_ASSERT (mt_dispatch_queue_length (world.dispatch) == waiting);
   RC_ASSERT (waiting <= kQueue);
 }
 
-/* All that runs ends and time passes: every caller has got its one answer. */
+/* After all requests in flight have ended and time has passed, every caller must have got exactly
+ * one answer. */
 void
 end_all (World &world)
 {
   mt_clock_manual_advance (world.manual, 300 * MT_MS);
   mt_dispatch_tick (world.dispatch);
-  while (nth (world, State::Running, 0) != nullptr)
+  while (find_nth (world, State::Running, 0) != nullptr)
     finish (world, 0, MT_DISPATCH_SUCCESS);
   check_conserved (world);
   RC_ASSERT (mt_dispatch_queue_length (world.dispatch) == 0U);
@@ -252,10 +253,10 @@
   });
 }
 
-/* One audience floods, another asks now and then: between two grants of the quiet one the flood
- * gets no more than one for each audience that waits. */
+/* One audience has many items queued, the others one each: between two items of one audience at
+ * most one item of each other audience may be served. */
 bool
-check_no_starving ()
+check_audiences_take_turns ()
 {
   return rc::check ("audiences take turns", [] {
     const auto flood = *rc::gen::inRange (1U, 60U);
@@ -276,8 +277,8 @@
   });
 }
 
-/* A pool kept full, one audience with many waiting, others with one each: every other audience has
- * its slot within as many grants as there are audiences. */
+/* In a full pool, one audience has many requests queued and the others one each: each of the others
+ * must get a slot within as many grants as there are audiences. */
 bool
 check_quiet_audiences_served ()
 {
@@ -291,9 +292,9 @@
                                          mt_balance_policies[0], 7);
     update (world, 1, 0);
     for (unsigned i = 0; i < kSlots + flood; i++)
-      ask (world, 0, 10000, false);
+      submit (world, 0, 10000, false);
     for (unsigned i = 1; i <= quiet; i++)
-      ask (world, i, 10000, false);
+      submit (world, i, 10000, false);
     for (unsigned i = 0; i <= quiet; i++)
       finish (world, 0, MT_DISPATCH_SUCCESS);
     for (auto &call : world.calls)
@@ -327,7 +328,7 @@
 {
   bool good = check_any_interleaving ();
 
-  good = check_no_starving () && good;
+  good = check_audiences_take_turns () && good;
   good = check_quiet_audiences_served () && good;
   good = check_share_sums () && good;
   return good ? 0 : 1;
--- a/tests/path/test_dispatch.c
+++ b/tests/path/test_dispatch.c
@@ -43,7 +43,7 @@
 };
 
 static void
-put_minions (struct fixture *f, size_t n)
+set_minions (struct fixture *f, size_t n)
 {
   const struct mt_instance *list[MINIONS];
 
@@ -67,7 +67,7 @@
   expired = 0;
   f->manual = mt_clock_manual_create (1);
   f->dispatch = mt_dispatch_create (mt_clock_manual_clock (f->manual), &counting, NULL, 20261202);
-  put_minions (f, MINIONS);
+  set_minions (f, MINIONS);
   *state = f;
   return 0;
 }
@@ -84,7 +84,7 @@
 }
 
 static enum mt_dispatch_admission
-ask (struct fixture *f, struct mt_ticket *ticket, uint64_t audience, int64_t within_us)
+submit (struct fixture *f, struct mt_ticket *ticket, uint64_t audience, int64_t within_us)
 {
   *ticket = (struct mt_ticket){ .audience = audience };
   ticket->deadline_us = mt_clock_now (mt_clock_manual_clock (f->manual)) + within_us;
@@ -92,192 +92,193 @@
 }
 
 static void
-run (struct fixture *f, int64_t took_us, enum mt_dispatch_result result)
+run_request (struct fixture *f, int64_t took_us, enum mt_dispatch_result result)
 {
   struct mt_ticket ticket;
 
-  assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
+  assert_int_equal (submit (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
   mt_clock_manual_advance (f->manual, took_us);
   mt_dispatch_complete (f->dispatch, &ticket, result);
 }
 
 static struct mt_ticket *
-fill (struct fixture *f, unsigned n)
+fill_slots (struct fixture *f, unsigned n)
 {
   struct mt_ticket *tickets = g_new0 (struct mt_ticket, n);
 
   for (unsigned i = 0; i < n; i++)
-    assert_int_equal (ask (f, &tickets[i], 1, 10 * MT_SECOND), MT_ADMISSION_GRANTED);
+    assert_int_equal (submit (f, &tickets[i], 1, 10 * MT_SECOND), MT_ADMISSION_GRANTED);
   return tickets;
 }
 
-/* The caller asks while every slot is taken and work takes 100 ms: 32 are ahead of it, so its slot
- * comes in about 100 ms, past its deadline. It is refused now, not after waiting in vain. */
+/* All slots are taken, requests take 100 ms and 32 are queued ahead: a slot comes free in about 100
+ * ms, too late for the deadline. The request must be refused at once, not after waiting in vain. */
 static void
-test_refuses_at_once_what_would_be_late (void **state)
+test_refuses_request_that_would_miss_its_deadline (void **state)
 {
   struct fixture *f = *state;
   g_autofree struct mt_ticket *busy = NULL;
-  struct mt_ticket waiting[MINIONS * SLOTS];
-  struct mt_ticket late;
+  struct mt_ticket queued[MINIONS * SLOTS];
+  struct mt_ticket ticket;
 
-  run (f, 100 * MT_MS, MT_DISPATCH_SUCCESS);
-  busy = fill (f, MINIONS * SLOTS);
+  run_request (f, 100 * MT_MS, MT_DISPATCH_SUCCESS);
+  busy = fill_slots (f, MINIONS * SLOTS);
   assert_non_null (busy);
-  for (size_t i = 0; i < G_N_ELEMENTS (waiting); i++)
-    assert_int_equal (ask (f, &waiting[i], 1, MT_SECOND), MT_ADMISSION_QUEUED);
-  assert_int_equal (ask (f, &late, 1, 120 * MT_MS), MT_ADMISSION_REFUSED);
-  assert_int_equal (late.refusal, MT_REFUSAL_DEADLINE);
-  assert_int_equal (ask (f, &late, 2, 120 * MT_MS), MT_ADMISSION_QUEUED);
+  for (size_t i = 0; i < G_N_ELEMENTS (queued); i++)
+    assert_int_equal (submit (f, &queued[i], 1, MT_SECOND), MT_ADMISSION_QUEUED);
+  assert_int_equal (submit (f, &ticket, 1, 120 * MT_MS), MT_ADMISSION_REFUSED);
+  assert_int_equal (ticket.refusal, MT_REFUSAL_DEADLINE);
+  assert_int_equal (submit (f, &ticket, 2, 120 * MT_MS), MT_ADMISSION_QUEUED);
 }
 
-/* Work takes 50 or 150 ms. A waiter of 1 s deadline that has no slot after 900 ms could be answered
- * in time only by luck: its caller hears so before the deadline, and the slot goes to one with
- * time. */
+/* Requests take 50 or 150 ms. A queued request with a deadline of 1 s and no slot after 900 ms
+ * could meet its deadline only by luck: it must be expired before the deadline, so that the caller
+ * hears of it and the slot goes to a request with time left. */
 static void
-test_gives_up_while_the_caller_still_listens (void **state)
+test_expires_queued_request_before_its_deadline (void **state)
 {
   struct fixture *f = *state;
   g_autofree struct mt_ticket *busy = NULL;
-  struct mt_ticket waiting;
+  struct mt_ticket queued;
 
   for (int i = 0; i < 100; i++)
-    run (f, (i % 2 == 0 ? 50 : 150) * MT_MS, MT_DISPATCH_SUCCESS);
-  busy = fill (f, MINIONS * SLOTS);
+    run_request (f, (i % 2 == 0 ? 50 : 150) * MT_MS, MT_DISPATCH_SUCCESS);
+  busy = fill_slots (f, MINIONS * SLOTS);
   assert_non_null (busy);
-  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMISSION_QUEUED);
+  assert_int_equal (submit (f, &queued, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_clock_manual_advance (f->manual, 700 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (expired, 0);
   mt_clock_manual_advance (f->manual, 200 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (expired, 1);
-  assert_int_equal (waiting.refusal, MT_REFUSAL_DEADLINE);
+  assert_int_equal (queued.refusal, MT_REFUSAL_DEADLINE);
 }
 
-/* The operator drains the whole pool while a caller waits for a slot. Those in flight end later,
- * but their slots take nothing new: the caller is told at once and not at its deadline. */
+/* The whole pool is drained while a request is queued. The requests in flight end later, but their
+ * slots accept no new work: the queued request must be expired at once and not at its deadline. */
 static void
-test_waiters_of_a_drained_pool_are_told_at_once (void **state)
+test_drained_pool_expires_queued_requests_at_once (void **state)
 {
   struct fixture *f = *state;
-  g_autofree struct mt_ticket *busy = fill (f, MINIONS * SLOTS);
-  struct mt_ticket waiting;
-  struct mt_ticket late;
+  g_autofree struct mt_ticket *busy = fill_slots (f, MINIONS * SLOTS);
+  struct mt_ticket queued;
+  struct mt_ticket refused;
 
   assert_non_null (busy);
-  assert_int_equal (ask (f, &waiting, 1, MT_SECOND), MT_ADMISSION_QUEUED);
+  assert_int_equal (submit (f, &queued, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_dispatch_update (f->dispatch, NULL, 0);
   assert_int_equal (expired, 1);
-  assert_int_equal (waiting.refusal, MT_REFUSAL_NO_MINION);
-  assert_int_equal (ask (f, &late, 1, MT_SECOND), MT_ADMISSION_REFUSED);
-  assert_int_equal (late.refusal, MT_REFUSAL_NO_MINION);
+  assert_int_equal (queued.refusal, MT_REFUSAL_NO_MINION);
+  assert_int_equal (submit (f, &refused, 1, MT_SECOND), MT_ADMISSION_REFUSED);
+  assert_int_equal (refused.refusal, MT_REFUSAL_NO_MINION);
 }
 
-/* A trough: one request in a while, one of them a straggler of 5 s. Then a surge's head arrives.
- * The caller sees its request queued: the straggler has not spoilt the estimate. */
+/* At low load, one request is a straggler of 5 s; then a load peak begins. The straggler must not
+ * raise the service time estimate so far that the first requests of the peak are refused. */
 static void
-test_straggler_in_trough_costs_no_surge_head (void **state)
+test_straggler_at_low_load_refuses_no_later_requests (void **state)
 {
   struct fixture *f = *state;
   g_autofree struct mt_ticket *busy = NULL;
   struct mt_ticket head[2 * MINIONS * SLOTS];
 
   for (int i = 0; i < 50; i++)
-    run (f, 20 * MT_MS, MT_DISPATCH_SUCCESS);
-  run (f, 5 * MT_SECOND, MT_DISPATCH_SUCCESS);
+    run_request (f, 20 * MT_MS, MT_DISPATCH_SUCCESS);
+  run_request (f, 5 * MT_SECOND, MT_DISPATCH_SUCCESS);
   mt_clock_manual_advance (f->manual, 600 * MT_SECOND);
-  busy = fill (f, MINIONS * SLOTS);
+  busy = fill_slots (f, MINIONS * SLOTS);
   assert_non_null (busy);
   for (size_t i = 0; i < G_N_ELEMENTS (head); i++)
-    assert_int_equal (ask (f, &head[i], 1, 200 * MT_MS), MT_ADMISSION_QUEUED);
+    assert_int_equal (submit (f, &head[i], 1, 200 * MT_MS), MT_ADMISSION_QUEUED);
 }
 
-/* Sends n requests one by one, m2 failing in 10 us; how many it got. */
+/* Sends n requests one by one, of which m2 fails its own in 10 us. Returns how many m2 got. */
 static unsigned
-run_with_sick_minion (struct fixture *f, int n)
+run_with_failing_minion (struct fixture *f, int n)
 {
-  unsigned on_sick = 0;
+  unsigned n_failed = 0;
 
   for (int i = 0; i < n; i++)
     {
       struct mt_ticket ticket;
-      bool sick;
+      bool fails;
 
-      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
-      sick = strcmp (ticket.minion, "m2") == 0;
-      on_sick += sick ? 1 : 0;
-      mt_clock_manual_advance (f->manual, sick ? 10 : MT_MS);
+      assert_int_equal (submit (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
+      fails = strcmp (ticket.minion, "m2") == 0;
+      n_failed += fails ? 1 : 0;
+      mt_clock_manual_advance (f->manual, fails ? 10 : MT_MS);
       mt_dispatch_complete (f->dispatch, &ticket,
-                            sick ? MT_DISPATCH_SERVER_ERROR : MT_DISPATCH_SUCCESS);
+                            fails ? MT_DISPATCH_SERVER_ERROR : MT_DISPATCH_SUCCESS);
     }
-  return on_sick;
+  return n_failed;
 }
 
-/* One minion answers everything at once with errors and so always looks idle; the others work. The
- * callers see a few errors, not most of the traffic. */
+/* One minion fails every request at once and so always looks idle; the others work. It must get a
+ * few requests, not most of the traffic. */
 static void
 test_fast_errors_attract_no_load (void **state)
 {
   struct fixture *f = *state;
-  g_autofree struct mt_ticket *busy = fill (f, 8);
+  g_autofree struct mt_ticket *busy = fill_slots (f, 8);
 
   assert_non_null (busy);
-  assert_in_range (run_with_sick_minion (f, 4000), 1, 20);
+  assert_in_range (run_with_failing_minion (f, 4000), 1, 20);
 }
 
-/* Under a policy that looks at no load the sick minion is ejected after five errors, gets single
- * probes, and has all its slots again once it is well. */
+/* With a policy that ignores the load, the failing minion must be ejected after five errors, get
+ * single probes, and get all its slots back once it has recovered. */
 static void
-test_sick_minion_returns_by_probes (void **state)
+test_failing_minion_is_reinstated_by_probes (void **state)
 {
   struct fixture *f = *state;
 
   mt_dispatch_destroy (f->dispatch);
   f->dispatch = mt_dispatch_create (mt_clock_manual_clock (f->manual), &counting,
                                     &mt_balance_round_robin, 1);
-  put_minions (f, MINIONS);
-  assert_in_range (run_with_sick_minion (f, 4000), 5, 10);
+  set_minions (f, MINIONS);
+  assert_in_range (run_with_failing_minion (f, 4000), 5, 10);
   assert_int_equal (mt_dispatch_ejected_count (f->dispatch), 1);
   mt_clock_manual_advance (f->manual, 60 * MT_SECOND);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m2"), 1);
   for (int i = 0; i < 200; i++)
-    run (f, MT_MS, MT_DISPATCH_SUCCESS);
+    run_request (f, MT_MS, MT_DISPATCH_SUCCESS);
   assert_int_equal (mt_dispatch_ejected_count (f->dispatch), 0);
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m2"), SLOTS);
 }
 
-/* Every minion goes bad, one after the other, so that each looks worse than the rest. Half stay in:
- * callers still reach a minion. */
+/* All minions fail, one after the other, so that each looks worse than the rest. At least half must
+ * stay in the pool. */
 static void
-test_never_ejects_the_pool (void **state)
+test_ejects_at_most_half_the_pool (void **state)
 {
   struct fixture *f = *state;
 
   for (int i = 0; i < 200; i++)
-    run (f, MT_MS, MT_DISPATCH_NOT_SENT);
+    run_request (f, MT_MS, MT_DISPATCH_NOT_SENT);
   assert_in_range (mt_dispatch_ejected_count (f->dispatch), 0, MINIONS / 2);
   assert_true (mt_dispatch_usable_slots (f->dispatch, NULL) > 0);
-  put_minions (f, 1);
+  set_minions (f, 1);
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), SLOTS);
 }
 
-/* A minion refuses: another daemon's requests fill it. This daemon leaves it alone for a moment and
- * what it had borrowed for longer; the waiter goes on by the tick. */
+/* A minion refuses because another daemon's requests fill its slots. This daemon must send it
+ * nothing for the refusal backoff and use no borrowed slots for the longer borrow backoff; the
+ * queued request is granted by the tick. */
 static void
-test_refusal_rests_the_minion (void **state)
+test_refusal_pauses_the_minion (void **state)
 {
   struct fixture *f = *state;
   struct mt_ticket first;
   struct mt_ticket second;
 
-  put_minions (f, 1);
+  set_minions (f, 1);
   mt_dispatch_set_share (f->dispatch, (struct mt_share){ 4, 0 }, NULL, NULL);
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), 2 + 3);
-  assert_int_equal (ask (f, &first, 1, MT_SECOND), MT_ADMISSION_GRANTED);
+  assert_int_equal (submit (f, &first, 1, MT_SECOND), MT_ADMISSION_GRANTED);
   mt_dispatch_complete (f->dispatch, &first, MT_DISPATCH_REFUSED);
-  assert_int_equal (ask (f, &second, 1, MT_SECOND), MT_ADMISSION_QUEUED);
+  assert_int_equal (submit (f, &second, 1, MT_SECOND), MT_ADMISSION_QUEUED);
   mt_clock_manual_advance (f->manual, 20 * MT_MS);
   mt_dispatch_tick (f->dispatch);
   assert_int_equal (granted, 1);
@@ -287,21 +288,21 @@
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, NULL), 2 + 3);
 }
 
-/* A minion says that it leaves. It gets nothing more, whatever the tables that are read later say,
- * until it is gone from them or told back. */
+/* A minion announces that it leaves. It must get no more requests, even if tables read later still
+ * list it, until it is absent from them or rejoins. */
 static void
-test_leaving_minion_gets_nothing (void **state)
+test_leaving_minion_gets_no_requests (void **state)
 {
   struct fixture *f = *state;
 
   mt_dispatch_set_leaving (f->dispatch, "m1");
-  put_minions (f, MINIONS);
+  set_minions (f, MINIONS);
   assert_true (mt_dispatch_is_leaving (f->dispatch, "m1"));
   for (int i = 0; i < 100; i++)
     {
       struct mt_ticket ticket;
 
-      assert_int_equal (ask (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
+      assert_int_equal (submit (f, &ticket, 1, MT_SECOND), MT_ADMISSION_GRANTED);
       assert_string_not_equal (ticket.minion, "m1");
       mt_dispatch_complete (f->dispatch, &ticket, MT_DISPATCH_SUCCESS);
     }
@@ -309,10 +310,10 @@
   assert_int_equal (mt_dispatch_usable_slots (f->dispatch, "m1"), SLOTS);
 }
 
-/* Everything fails and every failed request is tried again. The retries end after the budget: the
- * load on the pool is 1.1 times the callers', not a multiple. */
+/* All requests fail and each is retried. The retry budget must limit the load on the pool to 1.1
+ * times the first attempts. */
 static void
-test_retries_are_a_tenth (void **state)
+test_retries_are_limited_to_a_tenth (void **state)
 {
   struct fixture *f = *state;
   unsigned retried = 0;
@@ -321,7 +322,7 @@
     {
       struct mt_ticket ticket = { .audience = 1, .is_retry = true, .deadline_us = INT64_MAX };
 
-      run (f, MT_MS, MT_DISPATCH_LOST);
+      run_request (f, MT_MS, MT_DISPATCH_LOST);
       if (mt_dispatch_submit (f->dispatch, &ticket, 10) == MT_ADMISSION_GRANTED)
         {
           retried++;
@@ -344,19 +345,21 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_refuses_at_once_what_would_be_late, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_gives_up_while_the_caller_still_listens, set_up,
+    cmocka_unit_test_setup_teardown (test_refuses_request_that_would_miss_its_deadline, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_expires_queued_request_before_its_deadline, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_waiters_of_a_drained_pool_are_told_at_once, set_up,
+    cmocka_unit_test_setup_teardown (test_drained_pool_expires_queued_requests_at_once, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_straggler_in_trough_costs_no_surge_head, set_up,
+    cmocka_unit_test_setup_teardown (test_straggler_at_low_load_refuses_no_later_requests, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_fast_errors_attract_no_load, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_sick_minion_returns_by_probes, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_never_ejects_the_pool, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_refusal_rests_the_minion, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_leaving_minion_gets_nothing, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_retries_are_a_tenth, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_failing_minion_is_reinstated_by_probes, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_ejects_at_most_half_the_pool, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_refusal_pauses_the_minion, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_leaving_minion_gets_no_requests, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_retries_are_limited_to_a_tenth, set_up, tear_down),
     cmocka_unit_test (test_policies_have_names),
   };
 
--- a/tests/path/test_front.c
+++ b/tests/path/test_front.c
@@ -27,9 +27,9 @@
   struct mt_arena *arena;
 };
 
-/* Minions get work by their records alone. */
+/* Minions get requests only if an assignment record names them. */
 static void
-put_records (struct fixture *f)
+add_assignments (struct fixture *f)
 {
   struct mt_assign *empty = mt_assign_create ();
   struct mt_assign *records = mt_assign_next (empty, "first");
@@ -41,7 +41,7 @@
 }
 
 static void
-put_tables (struct fixture *f, unsigned version, const char *once)
+offer_tables (struct fixture *f, unsigned version, const char *once)
 {
   g_autofree char *text = g_strdup_printf (
       "{\"version\":%u,\"id\":\"t\",\"routes\":["
@@ -98,8 +98,8 @@
   options.claims = f->claims;
   options.counters = &f->counters;
   f->front = mt_front_create (&options);
-  put_tables (f, 1, "once");
-  put_records (f);
+  offer_tables (f, 1, "once");
+  add_assignments (f);
   *state = f;
   return 0;
 }
@@ -125,7 +125,7 @@
 }
 
 static void
-play (struct fixture *f, enum script script)
+set_scripts (struct fixture *f, enum script script)
 {
   for (int i = 0; i < N_MINIONS; i++)
     scripted_play (f->minions[i], &script, 1);
@@ -138,7 +138,7 @@
 }
 
 static struct mt_http_answer
-ask (struct fixture *f, const char *method, const char *path)
+send_request (struct fixture *f, const char *method, const char *path)
 {
   static struct mt_http_header key[] = { { MT_STR ("Idempotency-Key"), MT_STR ("invoice-4711") } };
   struct mt_http_request request = { .arena = f->arena,
@@ -153,41 +153,41 @@
 }
 
 static void
-assert_typed (struct mt_http_answer answer, int status, const char *outcome, bool come_back)
+assert_typed (struct mt_http_answer answer, int status, const char *outcome, bool has_retry_after)
 {
-  struct mt_str told
+  struct mt_str outcome_header
       = mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("Medlartrack-Outcome"));
-  struct mt_str after
+  struct mt_str retry_after
       = mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("Retry-After"));
   json_t *body = json_loadb (answer.body.data, answer.body.len, 0, NULL);
 
   assert_int_equal (answer.status, status);
-  assert_true (mt_str_equal (told, mt_str_from (outcome)));
+  assert_true (mt_str_equal (outcome_header, mt_str_from (outcome)));
   assert_string_equal (json_string_value (json_object_get (body, "outcome")), outcome);
   assert_non_null (json_object_get (body, "reason"));
-  assert_true (come_back == (after.len > 0));
+  assert_true (has_retry_after == (retry_after.len > 0));
   json_decref (body);
 }
 
 static void
-test_whole_answer (void **state)
+test_complete_response (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_WHOLE);
-  assert_int_equal (ask (f, "GET", "/safe/1").status, 200);
+  set_scripts (f, SCRIPT_WHOLE);
+  assert_int_equal (send_request (f, "GET", "/safe/1").status, 200);
   assert_int_equal (f->counters.values[MT_COUNTER_WHOLE], 1);
 }
 
-/* The minion ran the request and answers with the header that means the opposite. */
+/* The minion ran the request, and its response carries the header that says the opposite. */
 static void
-test_minion_cannot_say_not_run_in_our_name (void **state)
+test_minion_cannot_forge_not_run (void **state)
 {
   struct fixture *f = *state;
   struct mt_http_answer answer;
 
-  play (f, SCRIPT_SPOOFED);
-  answer = ask (f, "GET", "/safe/1");
+  set_scripts (f, SCRIPT_SPOOFED);
+  answer = send_request (f, "GET", "/safe/1");
   assert_int_equal (answer.status, 200);
   assert_non_null (mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("X-Good")).data);
   assert_null (
@@ -197,66 +197,71 @@
 static void
 test_no_route_is_not_run (void **state)
 {
-  assert_typed (ask (*state, "GET", "/nowhere"), 404, "not-run", false);
+  assert_typed (send_request (*state, "GET", "/nowhere"), 404, "not-run", false);
 }
 
-/* Both minions read the request and close. It is tried on both, since its route allows that; the
- * third try finds the first minion again. The caller hears "unknown", however the tries end. */
+/* Both minions read the request and close the connection. The route allows retries, so it is tried
+ * on both; the third attempt goes to the first minion again. The outcome must be "unknown", however
+ * the last attempt ends. */
 static void
-test_after_unknown_never_not_run (void **state)
+test_unknown_attempt_is_never_not_run (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_CLOSE);
-  assert_typed (ask (f, "GET", "/safe/1"), 504, "unknown", true);
+  set_scripts (f, SCRIPT_CLOSE);
+  assert_typed (send_request (f, "GET", "/safe/1"), 504, "unknown", true);
   assert_in_range (count_requests (f), 3, 3);
 }
 
-/* The minions read each request and close, until the retry budget is spent: the next retry is
- * refused before it is sent. "Not run" would be a lie about the try before it. */
+/* The minions read each request and close the connection until the retry budget is spent: the next
+ * retry is refused before it is sent. The outcome must not be "not run", since the attempt before
+ * it may have run. */
 static void
-test_refusal_of_a_retry_is_unknown (void **state)
+test_refused_retry_is_unknown (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_CLOSE);
+  set_scripts (f, SCRIPT_CLOSE);
   for (int i = 0; i < 40; i++)
-    assert_typed (ask (f, "GET", "/safe/1"), 504, "unknown", true);
+    assert_typed (send_request (f, "GET", "/safe/1"), 504, "unknown", true);
   assert_true (count_requests (f) < 40 + 40);
   assert_int_equal (f->counters.values[MT_COUNTER_NOT_RUN], 0);
 }
 
-/* Both minions say that they did not run it. The caller hears so, and when to come back. */
+/* Both minions refuse the request. The caller must get "not run" and the time after which to retry.
+ */
 static void
-test_minions_refusal_is_not_run (void **state)
+test_minion_refusal_is_not_run (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_REFUSED);
-  assert_typed (ask (f, "GET", "/safe/1"), 503, "not-run", true);
+  set_scripts (f, SCRIPT_REFUSED);
+  assert_typed (send_request (f, "GET", "/safe/1"), 503, "not-run", true);
   assert_true (f->counters.values[MT_COUNTER_MINION_REFUSALS] >= 1);
 }
 
-/* Each minion says once that it leaves. Neither is asked again, and the caller is told at once. */
+/* Each minion announces once that it leaves. Neither must be called again, and the caller is
+ * answered at once. */
 static void
-test_leaving_minions_get_nothing (void **state)
+test_leaving_minions_get_no_requests (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_LEAVING);
-  assert_typed (ask (f, "GET", "/safe/1"), 503, "not-run", true);
+  set_scripts (f, SCRIPT_LEAVING);
+  assert_typed (send_request (f, "GET", "/safe/1"), 503, "not-run", true);
   assert_true (mt_pools_is_leaving (f->pools, "p", "m0"));
   assert_true (mt_pools_is_leaving (f->pools, "p", "m1"));
-  play (f, SCRIPT_WHOLE);
-  assert_typed (ask (f, "GET", "/safe/1"), 503, "not-run", true);
+  set_scripts (f, SCRIPT_WHOLE);
+  assert_typed (send_request (f, "GET", "/safe/1"), 503, "not-run", true);
   assert_int_equal (count_requests (f), 2);
   mt_pools_rejoin (f->pools, "p", "m0");
-  assert_int_equal (ask (f, "GET", "/safe/1").status, 200);
+  assert_int_equal (send_request (f, "GET", "/safe/1").status, 200);
 }
 
-/* The request's memory is too small for anything. The caller still gets a typed answer. */
+/* The request's memory limit is so low that allocations fail, at another point for each limit. The
+ * caller must still get a typed answer. */
 static void
-test_no_memory_is_typed (void **state)
+test_out_of_memory_answer_is_typed (void **state)
 {
   struct fixture *f = *state;
 
@@ -266,8 +271,8 @@
 
       mt_arena_destroy (f->arena);
       f->arena = mt_arena_create (limit);
-      play (f, SCRIPT_WHOLE);
-      answer = ask (f, "GET", "/safe/1");
+      set_scripts (f, SCRIPT_WHOLE);
+      answer = send_request (f, "GET", "/safe/1");
       if (answer.status != 200)
         assert_non_null (
             mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("Medlartrack-Outcome"))
@@ -275,17 +280,18 @@
     }
 }
 
-/* The caller's invoice runs and the answer is lost on the way to it. Before it asks again an
- * operator renames the route. The key is the same request still: it is not run a second time. */
+/* The request runs and its response is lost on the way to the caller. Before the caller retries,
+ * the route is renamed. The idempotency key must still identify the same request: it must not run a
+ * second time. */
 static void
 test_renamed_route_does_not_run_again (void **state)
 {
   struct fixture *f = *state;
 
-  play (f, SCRIPT_WHOLE);
-  assert_int_equal (ask (f, "POST", "/once").status, 200);
-  put_tables (f, 2, "renamed");
-  assert_int_equal (ask (f, "POST", "/once?again=1").status, 409);
+  set_scripts (f, SCRIPT_WHOLE);
+  assert_int_equal (send_request (f, "POST", "/once").status, 200);
+  offer_tables (f, 2, "renamed");
+  assert_int_equal (send_request (f, "POST", "/once?again=1").status, 409);
   assert_int_equal (count_requests (f), 1);
 }
 
@@ -293,14 +299,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_whole_answer, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_minion_cannot_say_not_run_in_our_name, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_complete_response, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_minion_cannot_forge_not_run, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_no_route_is_not_run, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_after_unknown_never_not_run, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_refusal_of_a_retry_is_unknown, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_minions_refusal_is_not_run, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_leaving_minions_get_nothing, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_no_memory_is_typed, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_unknown_attempt_is_never_not_run, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_refused_retry_is_unknown, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_minion_refusal_is_not_run, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_leaving_minions_get_no_requests, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_out_of_memory_answer_is_typed, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_renamed_route_does_not_run_again, set_up, tear_down),
   };
 
--- a/tests/path/test_histogram.c
+++ b/tests/path/test_histogram.c
@@ -7,19 +7,19 @@
 
 #include <cmocka.h>
 
-/* Each value's bucket ends at most 1.6% above it. */
+/* The upper bound of each value's bucket is at most 1.6% above the value. */
 static void
 test_error_is_bounded (void **state)
 {
   for (int64_t value = 1; value < 3600LL * 1000 * 1000; value += value / 7 + 1)
     {
       struct mt_histogram histogram = { 0 };
-      int64_t told;
+      int64_t median;
 
       mt_histogram_add (&histogram, value);
       mt_histogram_add (&histogram, INT64_MAX);
-      told = mt_histogram_quantile (&histogram, 0.5);
-      assert_true (told >= value && told <= value + value / 60);
+      median = mt_histogram_quantile (&histogram, 0.5);
+      assert_true (median >= value && median <= value + value / 60);
     }
 }
 
--- a/tests/path/test_uplink.c
+++ b/tests/path/test_uplink.c
@@ -6,9 +6,9 @@
 
 #include <cmocka.h>
 
-/* 2 Mbit/s carry 212 bytes of messages a millisecond. */
+/* 2 Mbit/s carry 212 bytes of messages per millisecond. */
 static void
-test_what_is_sent_at_once_waits_by_the_link (void **state)
+test_burst_waits_for_link_capacity (void **state)
 {
   struct mt_uplink uplink = mt_uplink_make (2, 1000);
 
@@ -18,9 +18,9 @@
   assert_int_equal (mt_uplink_wait_ms (&uplink, 42500, 5000), 0);
 }
 
-/* What a calm link did not carry is no credit for the next surge. */
+/* Capacity that was not used while the link was idle must not be credited to a later burst. */
 static void
-test_idle_time_is_not_saved (void **state)
+test_idle_capacity_is_not_credited (void **state)
 {
   struct mt_uplink uplink = mt_uplink_make (2, 0);
 
@@ -29,7 +29,7 @@
 }
 
 static void
-test_unknown_link_never_waits (void **state)
+test_unknown_capacity_never_waits (void **state)
 {
   struct mt_uplink uplink = mt_uplink_make (0, 0);
 
@@ -40,9 +40,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_what_is_sent_at_once_waits_by_the_link),
-    cmocka_unit_test (test_idle_time_is_not_saved),
-    cmocka_unit_test (test_unknown_link_never_waits),
+    cmocka_unit_test (test_burst_waits_for_link_capacity),
+    cmocka_unit_test (test_idle_capacity_is_not_credited),
+    cmocka_unit_test (test_unknown_capacity_never_waits),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
