--- a/core/control/assign.c
+++ b/core/control/assign.c
@@ -20,7 +20,7 @@
 }
 
 static const char *
-keep (const struct mt_assign *assign, const char *text)
+copy_text (const struct mt_assign *assign, const char *text)
 {
   return text != NULL ? talloc_strdup (assign, text) : NULL;
 }
@@ -31,7 +31,7 @@
   struct mt_assign *next = mt_assign_create ();
 
   next->version = assign->version + 1;
-  next->id = keep (next, id);
+  next->id = copy_text (next, id);
   next->tables_version = assign->tables_version;
   next->n_records = assign->n_records;
   next->records = talloc_array (next, struct mt_assign_record, assign->n_records);
@@ -40,16 +40,16 @@
       struct mt_assign_record *record = &next->records[i];
 
       *record = assign->records[i];
-      record->instance = keep (next, record->instance);
-      record->home = keep (next, record->home);
-      record->pool = keep (next, record->pool);
-      record->target = keep (next, record->target);
+      record->instance = copy_text (next, record->instance);
+      record->home = copy_text (next, record->home);
+      record->pool = copy_text (next, record->pool);
+      record->target = copy_text (next, record->target);
     }
   next->n_waves = assign->n_waves;
   next->waves = talloc_array (next, struct mt_assign_wave, assign->n_waves);
   for (size_t i = 0; i < assign->n_waves; i++)
-    next->waves[i] = (struct mt_assign_wave){ keep (next, assign->waves[i].pool),
-                                              keep (next, assign->waves[i].id) };
+    next->waves[i] = (struct mt_assign_wave){ copy_text (next, assign->waves[i].pool),
+                                              copy_text (next, assign->waves[i].id) };
   return next;
 }
 
@@ -65,11 +65,11 @@
 struct mt_assign_record *
 mt_assign_find (const struct mt_assign *assign, const char *instance)
 {
-  struct mt_assign_record wanted = { .instance = instance };
+  struct mt_assign_record key = { .instance = instance };
 
   if (assign->n_records == 0)
     return NULL;
-  return bsearch (&wanted, assign->records, assign->n_records, sizeof wanted, compare_records);
+  return bsearch (&key, assign->records, assign->n_records, sizeof key, compare_records);
 }
 
 bool
@@ -98,10 +98,10 @@
 }
 
 static void
-enter (struct mt_assign *next,
-       struct mt_assign_record *record,
-       enum mt_assign_state state,
-       int64_t now_s)
+set_state (struct mt_assign *next,
+           struct mt_assign_record *record,
+           enum mt_assign_state state,
+           int64_t now_s)
 {
   record->state = state;
   record->epoch = next->version;
@@ -121,10 +121,10 @@
   record = &next->records[at];
   memmove (record + 1, record, (next->n_records - at) * sizeof *record);
   next->n_records++;
-  *record = (struct mt_assign_record){ .instance = keep (next, instance),
-                                       .home = keep (next, pool),
-                                       .pool = keep (next, pool) };
-  enter (next, record, MT_ASSIGN_SERVING, now_s);
+  *record = (struct mt_assign_record){ .instance = copy_text (next, instance),
+                                       .home = copy_text (next, pool),
+                                       .pool = copy_text (next, pool) };
+  set_state (next, record, MT_ASSIGN_SERVING, now_s);
   return record;
 }
 
@@ -144,7 +144,7 @@
 void
 mt_assign_set_home (struct mt_assign *next, struct mt_assign_record *record, const char *pool)
 {
-  record->home = keep (next, pool);
+  record->home = copy_text (next, pool);
   record->wave_state = MT_WAVE_WAITING;
 }
 
@@ -157,9 +157,9 @@
     {
       next->waves = talloc_realloc (next, next->waves, struct mt_assign_wave, next->n_waves + 1);
       wave = &next->waves[next->n_waves++];
-      wave->pool = keep (next, pool);
+      wave->pool = copy_text (next, pool);
     }
-  wave->id = keep (next, id);
+  wave->id = copy_text (next, id);
   for (size_t i = 0; i < next->n_records; i++)
     if (strcmp (next->records[i].home, pool) == 0)
       next->records[i].wave_state = MT_WAVE_WAITING;
@@ -173,8 +173,8 @@
                  int64_t now_s)
 {
   record->goal = goal;
-  record->target = keep (next, target);
-  enter (next, record, MT_ASSIGN_DRAINING, now_s);
+  record->target = copy_text (next, target);
+  set_state (next, record, MT_ASSIGN_DRAINING, now_s);
 }
 
 void
@@ -183,17 +183,17 @@
                  const char *pool,
                  int64_t now_s)
 {
-  record->pool = keep (next, pool);
+  record->pool = copy_text (next, pool);
   record->target = NULL;
   record->goal = MT_GOAL_NONE;
   record->leave_causes = 0;
-  enter (next, record, MT_ASSIGN_SERVING, now_s);
+  set_state (next, record, MT_ASSIGN_SERVING, now_s);
 }
 
 void
 mt_assign_reboot (struct mt_assign *next, struct mt_assign_record *record, int64_t now_s)
 {
-  enter (next, record, MT_ASSIGN_REBOOTING, now_s);
+  set_state (next, record, MT_ASSIGN_REBOOTING, now_s);
 }
 
 void
@@ -201,7 +201,7 @@
 {
   record->goal = MT_GOAL_LEAVE;
   record->target = NULL;
-  enter (next, record, MT_ASSIGN_OUT, now_s);
+  set_state (next, record, MT_ASSIGN_OUT, now_s);
 }
 
 bool
@@ -219,7 +219,7 @@
     mt_assign_drain (next, record, MT_GOAL_LEAVE, NULL, now_s);
   else if (record->state == MT_ASSIGN_DRAINING)
     {
-      /* Its drain goes on under the epoch that daemons already confirm. */
+      /* The drain continues under the epoch that daemons already confirm. */
       record->goal = MT_GOAL_LEAVE;
       record->target = NULL;
     }
@@ -237,10 +237,10 @@
   return total;
 }
 
-/* A daemon that acts on an older document may still send work: until it reports this epoch with
- * nothing in flight, using the instance elsewhere would let it serve two pools at once. A silent
- * daemon is no proof, since it may be alive behind a cut; only the platform's word that its
- * instance is gone stands in for its report. */
+/* A daemon that acts on an older document may still send requests. Until it reports this epoch with
+ * no request in flight, using the instance elsewhere would let it serve two pools at once. A silent
+ * daemon proves nothing, since it may be alive behind a network partition; only the platform's
+ * statement that the daemon's instance is gone replaces its report. */
 bool
 mt_assign_drain_confirmed (const struct mt_assign_record *record,
                            const struct mt_assign_member *members,
--- a/core/control/assign_json.c
+++ b/core/control/assign_json.c
@@ -4,8 +4,8 @@
 #include <string.h>
 #include <talloc.h>
 
-/* A record is an array, not an object: at 450 instances the keys would be most of the value. Pools
- * are numbers in the document's own list; -1 is none. */
+/* A record is an array, not an object: with 450 instances the keys would make up most of the value.
+ * Pools are indices into the document's own list; -1 is none. */
 #define RECORD_FORMAT "[siiiiiIII]"
 
 static int
@@ -60,11 +60,11 @@
 }
 
 static bool
-refuse (GError **error, const char *what)
+fail_syntax (GError **error, const char *what)
 {
   g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-               "assignment document: %s; nobody but a daemon may write it, remove the key to have "
-               "it made anew from the tables",
+               "assignment document: %s; only daemons may write it; remove the key to have it "
+               "rebuilt from the tables",
                what);
   return false;
 }
@@ -114,9 +114,9 @@
   for (size_t i = 0; i < assign->n_records; i++)
     {
       if (!read_record (assign, &assign->records[i], json_array_get (records, i), pools))
-        return refuse (error, "a record is malformed");
+        return fail_syntax (error, "a record is malformed");
       if (i > 0 && strcmp (assign->records[i - 1].instance, assign->records[i].instance) >= 0)
-        return refuse (error, "the records are out of order");
+        return fail_syntax (error, "the records are out of order");
     }
   return true;
 }
@@ -132,7 +132,7 @@
       const char *id;
 
       if (json_unpack (json_array_get (waves, i), "[ss]", &pool, &id) != 0)
-        return refuse (error, "a wave is malformed");
+        return fail_syntax (error, "a wave is malformed");
       assign->waves[i].pool = talloc_strdup (assign, pool);
       assign->waves[i].id = talloc_strdup (assign, id);
     }
@@ -157,7 +157,7 @@
   ok = json_unpack (root, "{sI ss sI so so so}", "version", &version, "id", &id, "tables", &tables,
                     "pools", &pools, "records", &records, "waves", &waves)
            == 0
-       || refuse (error, "a key is missing");
+       || fail_syntax (error, "a key is missing");
   ok = ok && read_records (assign, records, pools, error) && read_waves (assign, waves, error);
   if (ok)
     {
--- a/core/control/capacity.c
+++ b/core/control/capacity.c
@@ -3,55 +3,56 @@
 #include <math.h>
 #include <string.h>
 
-#define MEAN_S       60.0  /* time constant of the long mean */
-#define PEAK_S       600.0 /* time constant of the peak's decay */
-#define STRETCH_S    30    /* demand that lasts so long is no surge */
-#define SURGE_FACTOR 2.0   /* above so many means a surge begins; below one mean it ends */
-#define SURGE_SLOTS  2.0   /* and at least by so many slots, or noise would be one */
-#define MOVE_S       3.0   /* from decision to service, with a heartbeat and two writes */
-#define LEARN_SURGES 3     /* seen before a pool gives up what it holds for them */
-#define HEADROOM     1.25
-#define BASE_SHARE   0.25 /* of the peak, held at all times where surges are followed */
-#define MOST_QUEUED  32   /* requests for each slot that the pool has: more is no true report */
-#define SMOOTHING    0.3  /* of surge lengths and periods */
-#define HOLD_MIN_S   4
-#define HOLD_MAX_S   3600
-#define HOUR_S       3600.0
-
-struct track
+#define MEAN_S                60.0  /* time constant of the moving mean */
+#define PEAK_S                600.0 /* time constant of the peak's decay */
+#define WINDOW_S              30    /* demand that lasts longer than this is not a surge */
+#define SURGE_FACTOR          2.0 /* a surge begins above the mean times this, and ends at the mean */
+#define SURGE_SLOTS           2.0 /* added to that threshold, so that noise is no surge */
+#define MOVE_S                3.0 /* from decision to service, including a heartbeat and two writes */
+#define MIN_SURGES            3 /* surges observed before a pool releases what it holds for them */
+#define HEADROOM              1.25
+#define BASE_SHARE            0.25 /* share of the peak that is always held if surges are followed */
+#define MAX_REQUESTS_PER_SLOT 32   /* of the pool: a report of more is wrong */
+#define SMOOTHING             0.3  /* weight of a new sample of a surge's length or interval */
+#define MIN_HOLD_S            4
+#define MAX_HOLD_S            3600
+#define HOUR_S                3600.0
+
+struct history
 {
   char *pool;
-  struct mt_capacity_stats learnt;
-  double stretch[STRETCH_S]; /* wanted, one for each second, a ring */
-  unsigned n_stretch;
-  int64_t last_s; /* 0: nothing learnt yet */
+  struct mt_capacity_stats stats;
+  double window[WINDOW_S]; /* ring of the demand in slots, one entry a second */
+  unsigned n_samples;
+  int64_t updated_s; /* 0: no demand observed yet */
   int64_t surge_began_s;
   int64_t surplus_since_s; /* 0: none */
-  unsigned want;
+  unsigned desired_instances;
 };
 
 struct mt_capacity
 {
   const struct mt_capacity_policy *policy;
-  GPtrArray *tracks;
+  GPtrArray *histories;
 };
 
 static unsigned
-instances_for (double slots, unsigned each)
+instances_for (double slots, unsigned slots_each)
 {
-  return (unsigned) ceil (slots / MAX (each, 1));
+  return (unsigned) ceil (slots / MAX (slots_each, 1));
 }
 
 static unsigned
-clamp_to_row (unsigned want, const struct mt_capacity_pool *pool)
+clamp_to_row (unsigned instances, const struct mt_capacity_pool *pool)
 {
   if (pool->row->max_instances > 0)
-    want = MIN (want, pool->row->max_instances);
-  return MAX (want, pool->min_serving);
+    instances = MIN (instances, pool->row->max_instances);
+  return MAX (instances, pool->min_serving);
 }
 
-/* What waits is part of what is wanted, and piles up while a surge is more than the pool holds: it
- * is no measure of the surge. The table's own size is what the operator thought enough. */
+/* Waiting requests are part of the demand and accumulate while a surge exceeds what the pool holds,
+ * so the peak does not measure the surge. It is limited by the table's size of the pool, which the
+ * operator considered sufficient. */
 static double
 bounded_peak (const struct mt_capacity_pool *pool)
 {
@@ -73,21 +74,21 @@
         = clamp_to_row (instances_for (pools[i].demand_slots, pools[i].slots), &pools[i]);
 }
 
-/* Whether moving instances into each surge and out again costs less than holding them between:
- * two moves against one instance idle for the time between surges. A surge that ends before the
- * move does is never followed. */
+/* Whether moving instances in for each surge and out again costs less than keeping them in between:
+ * two moves, compared with one instance idle from one surge to the next. A surge that ends before a
+ * move could is never followed. */
 static bool
 follows_surges (const struct mt_capacity_pool *pool)
 {
-  const struct mt_capacity_stats *learnt = &pool->stats;
+  const struct mt_capacity_stats *stats = &pool->stats;
 
-  if (learnt->surges < LEARN_SURGES || learnt->mean_surge_s <= MOVE_S)
+  if (stats->surges < MIN_SURGES || stats->mean_surge_s <= MOVE_S)
     return false;
-  return pool->row->buffer_weight * learnt->surge_interval_s / HOUR_S > 2 * pool->row->move_weight;
+  return pool->row->buffer_weight * stats->surge_interval_s / HOUR_S > 2 * pool->row->move_weight;
 }
 
 static unsigned
-base_of (const struct mt_capacity_pool *pool)
+base_instances (const struct mt_capacity_pool *pool)
 {
   return MAX (instances_for (bounded_peak (pool) * BASE_SHARE, pool->slots),
               instances_for (pool->stats.sustained * HEADROOM, pool->slots));
@@ -96,36 +97,36 @@
 static unsigned
 decide_pool (const struct mt_capacity_pool *pool)
 {
-  unsigned base = base_of (pool);
+  unsigned base = base_instances (pool);
 
   if (!follows_surges (pool))
     return MAX (pool->home, base);
   if (!pool->stats.surging)
     return base;
-  /* One more than the table's size works off what piled up until the moves were done. */
+  /* One more than the table's size works off what accumulated until the moves were done. */
   return MAX (base, MIN (instances_for (pool->demand_slots, pool->slots), pool->home + 1));
 }
 
-/* Surges come in turn, so one reserve serves all pools: as large as the greediest would borrow,
- * less what the pool of the last surge still has and passes on to the next. */
+/* The pools surge in turn, so they share one reserve: as large as the largest need of a pool beyond
+ * its base, minus what the pool that surged last still has and passes on to the next. */
 static unsigned
-decide_reserve (const struct mt_capacity_pool *pools, size_t n)
+reserve_instances (const struct mt_capacity_pool *pools, size_t n)
 {
   unsigned reserve = 0;
-  unsigned lent = 0;
+  unsigned borrowed = 0;
 
   for (size_t i = 0; i < n; i++)
     {
       const struct mt_capacity_pool *pool = &pools[i];
-      unsigned base = MIN (base_of (pool), pool->desired_instances);
+      unsigned base = MIN (base_instances (pool), pool->desired_instances);
       unsigned peak = instances_for (bounded_peak (pool), pool->slots);
 
       if (pool->row->spare || !follows_surges (pool))
         continue;
       reserve = MAX (reserve, peak - MIN (peak, base));
-      lent += pool->serving - MIN (pool->serving, base);
+      borrowed += pool->serving - MIN (pool->serving, base);
     }
-  return reserve - MIN (reserve, lent);
+  return reserve - MIN (reserve, borrowed);
 }
 
 static void
@@ -136,19 +137,19 @@
   for (size_t i = 0; i < n; i++)
     if (pools[i].row->spare && follows_surges (&pools[i]))
       pools[i].desired_instances
-          = clamp_to_row (pools[i].desired_instances + decide_reserve (pools, n), &pools[i]);
+          = clamp_to_row (pools[i].desired_instances + reserve_instances (pools, n), &pools[i]);
 }
 
 const struct mt_capacity_policy mt_capacity_policies[] = {
   { .name = "default",
     .description = "holds what the weights make cheaper: the tables' sizes, or a small base and a "
-                   "shared reserve that follows learnt surges",
+                   "shared reserve that follows observed surges",
     .decide = decide_default,
     .moves = true,
     .delays_release = true },
   { .name = "static", .description = "keeps the tables' sizes", .decide = decide_static },
   { .name = "greedy",
-    .description = "follows the demand of the moment, without regard to moves",
+    .description = "follows the current demand, whatever the moves cost",
     .decide = decide_greedy,
     .moves = true },
   { .name = NULL },
@@ -164,12 +165,12 @@
 }
 
 static void
-free_track (gpointer data)
+free_history (gpointer data)
 {
-  struct track *track = data;
+  struct history *history = data;
 
-  g_free (track->pool);
-  g_free (track);
+  g_free (history->pool);
+  g_free (history);
 }
 
 struct mt_capacity *
@@ -178,7 +179,7 @@
   struct mt_capacity *capacity = g_new0 (struct mt_capacity, 1);
 
   capacity->policy = policy;
-  capacity->tracks = g_ptr_array_new_with_free_func (free_track);
+  capacity->histories = g_ptr_array_new_with_free_func (free_history);
   return capacity;
 }
 
@@ -187,88 +188,88 @@
 {
   if (capacity == NULL)
     return;
-  g_ptr_array_free (capacity->tracks, TRUE);
+  g_ptr_array_free (capacity->histories, TRUE);
   g_free (capacity);
 }
 
-static struct track *
-find_track (const struct mt_capacity *capacity, const char *pool)
+static struct history *
+find_history (const struct mt_capacity *capacity, const char *pool)
 {
-  for (guint i = 0; i < capacity->tracks->len; i++)
+  for (guint i = 0; i < capacity->histories->len; i++)
     {
-      struct track *track = capacity->tracks->pdata[i];
+      struct history *history = capacity->histories->pdata[i];
 
-      if (strcmp (track->pool, pool) == 0)
-        return track;
+      if (strcmp (history->pool, pool) == 0)
+        return history;
     }
   return NULL;
 }
 
-static struct track *
-make_track (struct mt_capacity *capacity, const char *pool)
+static struct history *
+get_history (struct mt_capacity *capacity, const char *pool)
 {
-  struct track *track = find_track (capacity, pool);
+  struct history *history = find_history (capacity, pool);
 
-  if (track != NULL)
-    return track;
-  track = g_new0 (struct track, 1);
-  track->pool = g_strdup (pool);
-  track->want = UINT_MAX;
-  g_ptr_array_add (capacity->tracks, track);
-  return track;
+  if (history != NULL)
+    return history;
+  history = g_new0 (struct history, 1);
+  history->pool = g_strdup (pool);
+  history->desired_instances = UINT_MAX;
+  g_ptr_array_add (capacity->histories, history);
+  return history;
 }
 
 unsigned
 mt_capacity_desired_instances (const struct mt_capacity *capacity, const char *pool)
 {
-  const struct track *track = find_track (capacity, pool);
+  const struct history *history = find_history (capacity, pool);
 
-  return track != NULL ? track->want : UINT_MAX;
+  return history != NULL ? history->desired_instances : UINT_MAX;
 }
 
 static void
-smooth (double *value, double sample)
+update_mean (double *value, double sample)
 {
   *value = *value == 0 ? sample : *value + SMOOTHING * (sample - *value);
 }
 
 static void
-learn_surge (struct track *track, double wanted, int64_t now_s)
+update_surge (struct history *history, double demand, int64_t now_s)
 {
-  struct mt_capacity_stats *learnt = &track->learnt;
+  struct mt_capacity_stats *stats = &history->stats;
 
-  if (!learnt->surging && wanted > learnt->mean * SURGE_FACTOR + SURGE_SLOTS)
+  if (!stats->surging && demand > stats->mean * SURGE_FACTOR + SURGE_SLOTS)
     {
-      if (track->surge_began_s != 0)
-        smooth (&learnt->surge_interval_s, (double) (now_s - track->surge_began_s));
-      learnt->surging = true;
-      learnt->surges++;
-      track->surge_began_s = now_s;
+      if (history->surge_began_s != 0)
+        update_mean (&stats->surge_interval_s, (double) (now_s - history->surge_began_s));
+      stats->surging = true;
+      stats->surges++;
+      history->surge_began_s = now_s;
     }
-  else if (learnt->surging && wanted <= learnt->mean)
+  else if (stats->surging && demand <= stats->mean)
     {
-      learnt->surging = false;
-      smooth (&learnt->mean_surge_s, (double) (now_s - track->surge_began_s));
+      stats->surging = false;
+      update_mean (&stats->mean_surge_s, (double) (now_s - history->surge_began_s));
     }
 }
 
 static void
-learn (struct track *track, double wanted, double most, int64_t now_s)
+add_sample (struct history *history, double demand, double max_demand, int64_t now_s)
 {
-  struct mt_capacity_stats *learnt = &track->learnt;
-  double passed = track->last_s == 0 ? 1 : (double) (now_s - track->last_s);
+  struct mt_capacity_stats *stats = &history->stats;
+  double elapsed_s = history->updated_s == 0 ? 1 : (double) (now_s - history->updated_s);
 
-  if (passed <= 0)
+  if (elapsed_s <= 0)
     return;
-  track->last_s = now_s;
-  wanted = isfinite (wanted) ? CLAMP (wanted, 0, most) : learnt->mean;
-  learn_surge (track, wanted, now_s);
-  learnt->mean += (wanted - learnt->mean) * MIN (passed / MEAN_S, 1);
-  learnt->peak = MAX (wanted, learnt->peak * exp (-passed / PEAK_S));
-  track->stretch[track->n_stretch++ % STRETCH_S] = wanted;
-  learnt->sustained = track->n_stretch < STRETCH_S ? 0 : wanted;
-  for (unsigned i = 0; i < STRETCH_S; i++)
-    learnt->sustained = MIN (learnt->sustained, track->stretch[i]);
+  history->updated_s = now_s;
+  demand = isfinite (demand) ? CLAMP (demand, 0, max_demand) : stats->mean;
+  update_surge (history, demand, now_s);
+  stats->mean += (demand - stats->mean) * MIN (elapsed_s / MEAN_S, 1);
+  stats->peak = MAX (demand, stats->peak * exp (-elapsed_s / PEAK_S));
+  history->window[history->n_samples++ % WINDOW_S] = demand;
+  stats->sustained = history->n_samples < WINDOW_S ? 0 : demand;
+  for (unsigned i = 0; i < WINDOW_S; i++)
+    stats->sustained = MIN (stats->sustained, history->window[i]);
 }
 
 void
@@ -279,33 +280,34 @@
 {
   for (size_t i = 0; i < n; i++)
     {
-      /* A report that lies without bound would stay in the mean for minutes. */
-      double most = (double) (pools[i].home + 1) * pools[i].slots * MOST_QUEUED;
+      /* Unlimited, a wrong report would distort the mean for minutes. */
+      double max_demand = (double) (pools[i].home + 1) * pools[i].slots * MAX_REQUESTS_PER_SLOT;
 
-      learn (make_track (capacity, pools[i].row->name.data), pools[i].demand_slots, most, now_s);
+      add_sample (get_history (capacity, pools[i].row->name.data), pools[i].demand_slots,
+                  max_demand, now_s);
     }
 }
 
-/* An instance too many is kept until keeping it has cost as much as the two moves that letting it
- * go and fetching it back would: at most twice the best that hindsight could have done. */
+/* A surplus instance is kept until keeping it has cost as much as the two moves to release it and
+ * to fetch it back: at most twice the cost of the best decision in hindsight. */
 static int64_t
-hold_s (const struct mt_pool *row)
+surplus_hold_s (const struct mt_pool *row)
 {
-  double hold = 2 * row->move_weight * HOUR_S / MAX (row->buffer_weight, 1e-6);
+  double hold_s = 2 * row->move_weight * HOUR_S / MAX (row->buffer_weight, 1e-6);
 
-  return (int64_t) CLAMP (hold, HOLD_MIN_S, HOLD_MAX_S);
+  return (int64_t) CLAMP (hold_s, MIN_HOLD_S, MAX_HOLD_S);
 }
 
 static void
-note_surplus (struct mt_capacity *capacity, const struct mt_capacity_pool *pool, int64_t now_s)
+update_surplus (struct mt_capacity *capacity, const struct mt_capacity_pool *pool, int64_t now_s)
 {
-  struct track *track = find_track (capacity, pool->row->name.data);
+  struct history *history = find_history (capacity, pool->row->name.data);
 
-  track->want = pool->desired_instances;
+  history->desired_instances = pool->desired_instances;
   if (pool->serving <= pool->desired_instances)
-    track->surplus_since_s = 0;
-  else if (track->surplus_since_s == 0)
-    track->surplus_since_s = now_s;
+    history->surplus_since_s = 0;
+  else if (history->surplus_since_s == 0)
+    history->surplus_since_s = now_s;
 }
 
 static bool
@@ -315,51 +317,53 @@
 }
 
 static bool
-surplus_is_old (const struct mt_capacity *capacity,
-                const struct mt_capacity_pool *pool,
-                int64_t now_s)
+surplus_hold_is_over (const struct mt_capacity *capacity,
+                      const struct mt_capacity_pool *pool,
+                      int64_t now_s)
 {
-  const struct track *track = find_track (capacity, pool->row->name.data);
+  const struct history *history = find_history (capacity, pool->row->name.data);
 
-  return !capacity->policy->delays_release || now_s - track->surplus_since_s >= hold_s (pool->row);
+  return !capacity->policy->delays_release
+         || now_s - history->surplus_since_s >= surplus_hold_s (pool->row);
 }
 
-/* The spare gives down to its minimum; another pool only what it has too many. */
+/* The spare pool gives instances down to its minimum, other pools only their surplus. */
 static bool
-can_give (const struct mt_capacity *capacity, const struct mt_capacity_pool *pool)
+is_source (const struct mt_capacity *capacity, const struct mt_capacity_pool *pool)
 {
   return pool->can_release && (pool->row->spare || has_surplus (capacity, pool));
 }
 
 static const struct mt_capacity_pool *
-find_needy (const struct mt_capacity_pool *pools, size_t n)
+find_short_pool (const struct mt_capacity_pool *pools, size_t n)
 {
   const struct mt_capacity_pool *best = NULL;
-  unsigned most = 0;
+  unsigned largest = 0;
 
   for (size_t i = 0; i < n; i++)
     {
-      /* The spare gets its own back in time, but at once what its wave waits for. */
-      unsigned wanted = pools[i].row->spare ? pools[i].min_serving : pools[i].desired_instances;
-      unsigned missing = wanted > pools[i].serving ? wanted - pools[i].serving : 0;
+      /* The spare pool gets its instances back later, but at once those that its wave waits for. */
+      unsigned needed = pools[i].row->spare ? pools[i].min_serving : pools[i].desired_instances;
+      unsigned missing = needed > pools[i].serving ? needed - pools[i].serving : 0;
 
-      if (missing <= most)
+      if (missing <= largest)
         continue;
-      most = missing;
+      largest = missing;
       best = &pools[i];
     }
   return best;
 }
 
-/* What lies idle elsewhere goes first, so that the reserve need not be as large as two surges. */
+/* Surplus instances of other pools go before the spare pool's, so that the reserve need not cover
+ * two surges. */
 static const struct mt_capacity_pool *
-find_giver (const struct mt_capacity *capacity, const struct mt_capacity_pool *pools, size_t n)
+find_source (const struct mt_capacity *capacity, const struct mt_capacity_pool *pools, size_t n)
 {
   const struct mt_capacity_pool *spare = NULL;
 
   for (size_t i = 0; i < n; i++)
     {
-      if (!can_give (capacity, &pools[i]))
+      if (!is_source (capacity, &pools[i]))
         continue;
       if (!pools[i].row->spare)
         return &pools[i];
@@ -378,14 +382,14 @@
 }
 
 static const struct mt_capacity_pool *
-find_returner (const struct mt_capacity *capacity,
-               const struct mt_capacity_pool *pools,
-               size_t n,
-               int64_t now_s)
+find_expired_surplus (const struct mt_capacity *capacity,
+                      const struct mt_capacity_pool *pools,
+                      size_t n,
+                      int64_t now_s)
 {
   for (size_t i = 0; i < n; i++)
     if (!pools[i].row->spare && has_surplus (capacity, &pools[i])
-        && surplus_is_old (capacity, &pools[i], now_s))
+        && surplus_hold_is_over (capacity, &pools[i], now_s))
       return &pools[i];
   return NULL;
 }
@@ -399,17 +403,17 @@
                     const struct mt_capacity_pool **to)
 {
   for (size_t i = 0; i < n; i++)
-    pools[i].stats = make_track (capacity, pools[i].row->name.data)->learnt;
+    pools[i].stats = get_history (capacity, pools[i].row->name.data)->stats;
   capacity->policy->decide (pools, n);
   for (size_t i = 0; i < n; i++)
-    note_surplus (capacity, &pools[i], now_s);
+    update_surplus (capacity, &pools[i], now_s);
   if (!capacity->policy->moves)
     return false;
-  *to = find_needy (pools, n);
-  *from = find_giver (capacity, pools, n);
+  *to = find_short_pool (pools, n);
+  *from = find_source (capacity, pools, n);
   if (*to != NULL && *from != NULL && *from != *to)
     return true;
   *to = find_spare (pools, n);
-  *from = find_returner (capacity, pools, n, now_s);
+  *from = find_expired_surplus (capacity, pools, n, now_s);
   return *to != NULL && *from != NULL;
 }
--- a/core/control/lease.c
+++ b/core/control/lease.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define STEP_US (4 * MT_SECOND) /* at most, between renewals, and between tries to take over */
+#define MAX_INTERVAL_US (4 * MT_SECOND) /* between renewals or attempts to acquire */
 
 struct mt_lease
 {
@@ -12,8 +12,8 @@
   const struct mt_clock *clock;
   char *key;
   char *holder;
-  GRand *jitter; /* seeded by the holder's name: daemons don't come in step */
-  char *id;      /* of the platform's lease, or NULL */
+  GRand *jitter; /* seeded by the holder's name, so that daemons don't act in step */
+  char *id;      /* of the lease in the platform's store, or NULL */
   bool held;
   int64_t renewed_us;
   int64_t next_us;
@@ -36,7 +36,7 @@
 }
 
 static void
-drop (struct mt_lease *lease)
+end_lease (struct mt_lease *lease)
 {
   if (lease->id != NULL)
     lease->store->ops->lease_end (lease->store->ctx, lease->id);
@@ -48,7 +48,7 @@
 {
   if (lease == NULL)
     return;
-  drop (lease);
+  end_lease (lease);
   g_rand_free (lease->jitter);
   g_free (lease->key);
   g_free (lease->holder);
@@ -67,11 +67,12 @@
   return false;
 }
 
-/* Whether it is worth trying: a standby that tried to acquire each time would cost the platform two
- * writes a step, which with 42 daemons is two thirds of what the fleet may write; a read costs it
- * little. The key under this holder's own name and lease is an acquire whose answer was lost. */
+/* Whether an attempt to acquire may succeed. Without this read, each attempt of a standby would
+ * cost the platform two writes, which with 42 daemons is two thirds of the writes that the whole
+ * fleet may do; a read costs it little. A key with this holder's name and lease comes from an
+ * acquire whose answer was lost. */
 static bool
-looks_free (struct mt_lease *lease)
+may_acquire (struct mt_lease *lease)
 {
   struct mt_store_value value = { 0 };
   bool is_free = lease->store->ops->get (lease->store->ctx, lease->key, &value, NULL);
@@ -83,11 +84,11 @@
 }
 
 static bool
-take (struct mt_lease *lease)
+try_acquire (struct mt_lease *lease)
 {
   const struct mt_store *store = lease->store;
 
-  if (!looks_free (lease) || (lease->id != NULL && !renew (lease)))
+  if (!may_acquire (lease) || (lease->id != NULL && !renew (lease)))
     return false;
   if (lease->id == NULL && !store->ops->lease_grant (store->ctx, MT_LEASE_S, &lease->id, NULL))
     return false;
@@ -97,7 +98,7 @@
     case MT_STORE_DONE:
       return true;
     case MT_STORE_CONFLICT:
-      drop (lease);
+      end_lease (lease);
       return false;
     default:
       return false;
@@ -116,8 +117,9 @@
     }
   if (now < lease->next_us)
     return lease->held;
-  lease->next_us = now + (int64_t) g_rand_double_range (lease->jitter, STEP_US / 2.0, STEP_US);
-  if (lease->held ? renew (lease) : take (lease))
+  lease->next_us
+      = now + (int64_t) g_rand_double_range (lease->jitter, MAX_INTERVAL_US / 2.0, MAX_INTERVAL_US);
+  if (lease->held ? renew (lease) : try_acquire (lease))
     {
       lease->renewed_us = now;
       lease->held = true;
--- a/core/control/moves.c
+++ b/core/control/moves.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Drains that one step may begin; the budgets bound them further. */
+/* Drains that one step may begin; the budgets limit them further. */
 #define MOVES_PER_STEP 4
 
 static double
@@ -14,7 +14,8 @@
   return 0;
 }
 
-/* Live, or under way to the pool: a move that isn't done yet must not be decided again. */
+/* Counts the instances that are live in the pool or on their way to it: a move that isn't complete
+ * must not be decided again. */
 static unsigned
 count_serving (const struct mt_plan *plan, const char *pool)
 {
@@ -35,7 +36,8 @@
   return count;
 }
 
-/* A pool at its minimum could never give an instance to the wave that waits for it. */
+/* Whether a wave waits for an instance of the pool. A pool at its minimum could otherwise never
+ * release one to it. */
 static bool
 wave_waits (const struct mt_plan *plan, const char *pool)
 {
@@ -46,7 +48,7 @@
 
       if (record->wave_state != MT_WAVE_WAITING || strcmp (record->pool, pool) != 0)
         continue;
-      home = mt_planner_pool (plan, record->home);
+      home = mt_planner_find_pool (plan, record->home);
       if (home != NULL && home->wave.id.len > 0 && !home->wave.stopped)
         return true;
     }
@@ -83,9 +85,10 @@
                    &g_array_index (pools, struct mt_capacity_pool, (guint) i));
 }
 
-/* One that is away from home goes first: it comes home or at least no second one leaves. */
+/* Picks an instance to move. One whose home is the target goes first, then one that is already away
+ * from home, so that no further instance leaves its home. */
 static struct mt_assign_record *
-pick_from (const struct mt_plan *plan, const char *pool, const char *target)
+pick_instance (const struct mt_plan *plan, const char *pool, const char *target)
 {
   struct mt_assign_record *best = NULL;
 
@@ -123,7 +126,7 @@
       if (!mt_capacity_decide (input->capacity, (void *) pools->data, pools->len, input->now_s,
                                &from, &to))
         return;
-      record = pick_from (plan, from->row->name.data, to->row->name.data);
+      record = pick_instance (plan, from->row->name.data, to->row->name.data);
       if (record == NULL)
         return;
       mt_assign_drain (plan->next, record, MT_GOAL_MOVE, to->row->name.data, input->now_s);
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A drain that takes no longer is as it should be, and no matter for the operator. */
-#define QUIET_S 5
+/* A drain that takes no longer than this is normal and not reported to the operator. */
+#define NORMAL_DRAIN_S 5
 
 static void
 clear_reboot (gpointer data)
@@ -57,31 +57,31 @@
 }
 
 const struct mt_planner_instance *
-mt_planner_listed (const struct mt_planner_input *input, const char *name)
+mt_planner_find_instance (const struct mt_planner_input *input, const char *name)
 {
-  struct mt_planner_instance wanted = { .name = name };
+  struct mt_planner_instance key = { .name = name };
 
   if (input->n_instances == 0)
     return NULL;
-  return bsearch (&wanted, input->instances, input->n_instances, sizeof wanted, compare_names);
+  return bsearch (&key, input->instances, input->n_instances, sizeof key, compare_names);
 }
 
 bool
 mt_planner_is_down (const struct mt_planner_input *input, const char *name)
 {
-  const struct mt_planner_instance *listed = mt_planner_listed (input, name);
+  const struct mt_planner_instance *listed = mt_planner_find_instance (input, name);
 
   return listed != NULL && listed->down;
 }
 
 const struct mt_pool *
-mt_planner_pool (const struct mt_plan *plan, const char *name)
+mt_planner_find_pool (const struct mt_plan *plan, const char *name)
 {
   return g_hash_table_lookup (plan->pools, name);
 }
 
 const struct mt_plan_row *
-mt_planner_row (const struct mt_plan *plan, const char *instance)
+mt_planner_find_row (const struct mt_plan *plan, const char *instance)
 {
   return g_hash_table_lookup (plan->rows, instance);
 }
@@ -100,7 +100,7 @@
 static bool
 is_unavailable (const struct mt_planner_input *input, const struct mt_assign_record *record)
 {
-  /* What the operator took out is no longer part of the service. */
+  /* An instance that the operator took out is no longer part of the service. */
   if (record->state == MT_ASSIGN_OUT && (record->leave_causes & MT_LEAVE_TABLES) != 0)
     return false;
   return record->state != MT_ASSIGN_SERVING || mt_planner_is_down (input, record->instance);
@@ -127,7 +127,7 @@
 }
 
 unsigned
-mt_planner_live (const struct mt_plan *plan, const char *pool)
+mt_planner_count_live (const struct mt_plan *plan, const char *pool)
 {
   unsigned count = 0;
 
@@ -142,19 +142,20 @@
   return count;
 }
 
-/* Whether one more instance of the pool may be drained by plan. Counted in the document that the
- * step writes, so that drains begun earlier in the step, by any wave or move, count too; rivals are
- * kept from spending the same budget by the compare-and-swap on that document. */
+/* Whether one more instance of the pool may be drained by plan. This is counted in the document
+ * that the step writes, so that drains that other waves or moves began in the same step count as
+ * well. The compare-and-swap on that document keeps competing planners from spending the same
+ * budget. */
 bool
 mt_planner_may_drain (const struct mt_plan *plan, const char *pool_name)
 {
-  const struct mt_pool *pool = mt_planner_pool (plan, pool_name);
+  const struct mt_pool *pool = mt_planner_find_pool (plan, pool_name);
 
   if (pool == NULL)
     return true;
   return mt_planner_unavailable (plan->input, plan->next, pool->service)
              < mt_planner_budget (plan->input->tables, pool->service)
-         && mt_planner_live (plan, pool_name) > pool->min_instances;
+         && mt_planner_count_live (plan, pool_name) > pool->min_instances;
 }
 
 static void
@@ -201,38 +202,41 @@
 }
 
 static void
-note_leaving (struct mt_plan *plan,
-              struct mt_assign_record *record,
-              const struct mt_instance *instance)
+check_leaving (struct mt_plan *plan,
+               struct mt_assign_record *record,
+               const struct mt_instance *instance)
 {
-  const struct mt_planner_instance *listed = mt_planner_listed (plan->input, record->instance);
+  const struct mt_planner_instance *listed
+      = mt_planner_find_instance (plan->input, record->instance);
   uint64_t boot = listed != NULL ? listed->boot : 0;
 
   if (instance == NULL || instance->leaving)
     plan->result->changed
         |= mt_assign_leave (plan->next, record, MT_LEAVE_TABLES, boot, plan->input->now_s);
-  /* While the reboot that was ordered here is under way, the platform says "leaving" of it too. */
+  /* During the reboot that was ordered here, the platform reports the instance as leaving as
+   * well. */
   if (listed != NULL && listed->leaving && record->state != MT_ASSIGN_REBOOTING)
     plan->result->changed
         |= mt_assign_leave (plan->next, record, MT_LEAVE_PLATFORM, boot, plan->input->now_s);
 }
 
-/* An instance that left comes back only on newer evidence: tables in force that no longer say so,
- * and a later boot than the one that left. The lagging list may call it live long after. */
+/* An instance that left returns only on newer evidence: the tables in force no longer have it
+ * leave, and it has booted since. The list lags and may show it as live long after it left. */
 static void
 try_return (struct mt_plan *plan,
             struct mt_assign_record *record,
             const struct mt_instance *instance,
             const char *home)
 {
-  const struct mt_planner_instance *listed = mt_planner_listed (plan->input, record->instance);
-  bool by_others = (record->leave_causes & (MT_LEAVE_PLATFORM | MT_LEAVE_REFUSAL)) != 0;
+  const struct mt_planner_instance *listed
+      = mt_planner_find_instance (plan->input, record->instance);
+  bool by_other_causes = (record->leave_causes & (MT_LEAVE_PLATFORM | MT_LEAVE_REFUSAL)) != 0;
 
   if (instance == NULL || instance->leaving)
     return;
   if (listed != NULL && (listed->down || listed->leaving))
     return;
-  if (by_others && (listed == NULL || listed->boot <= record->boot_when_left))
+  if (by_other_causes && (listed == NULL || listed->boot <= record->boot_when_left))
     return;
   mt_assign_serve (plan->next, record, home, plan->input->now_s);
   plan->result->changed = true;
@@ -240,7 +244,7 @@
 
 /* The operator moved the row to another pool: a planned drain within the budget. */
 static void
-follow_home (struct mt_plan *plan, struct mt_assign_record *record, const char *home)
+apply_home (struct mt_plan *plan, struct mt_assign_record *record, const char *home)
 {
   if (strcmp (record->home, home) == 0)
     return;
@@ -265,22 +269,22 @@
 }
 
 static void
-follow_tables (struct mt_plan *plan, struct mt_assign_record *record)
+apply_tables (struct mt_plan *plan, struct mt_assign_record *record)
 {
-  const struct mt_plan_row *row = mt_planner_row (plan, record->instance);
+  const struct mt_plan_row *row = mt_planner_find_row (plan, record->instance);
   const struct mt_instance *instance = row != NULL ? row->instance : NULL;
 
-  note_leaving (plan, record, instance);
+  check_leaving (plan, record, instance);
   if (record->state == MT_ASSIGN_OUT && instance != NULL)
     try_return (plan, record, instance, row->pool->name.data);
   if (instance != NULL)
-    follow_home (plan, record, row->pool->name.data);
+    apply_home (plan, record, row->pool->name.data);
 }
 
 static unsigned
 drain_limit (const struct mt_plan *plan, const struct mt_assign_record *record)
 {
-  const struct mt_pool *home = mt_planner_pool (plan, record->home);
+  const struct mt_pool *home = mt_planner_find_pool (plan, record->home);
 
   return home != NULL && home->wave.drain_limit_s > 0 ? home->wave.drain_limit_s : DRAIN_LIMIT_S;
 }
@@ -306,7 +310,7 @@
       mt_assign_out (plan->next, record, now_s);
       break;
     default:
-      if (target == NULL || mt_planner_pool (plan, target) == NULL)
+      if (target == NULL || mt_planner_find_pool (plan, target) == NULL)
         target = record->home;
       mt_assign_serve (plan->next, record, target, now_s);
       break;
@@ -314,9 +318,10 @@
   plan->result->changed = true;
 }
 
-/* Serving on in the pool that it drains from needs no confirmation: nobody used it elsewhere. */
+/* Serving again in the pool that it drains from needs no confirmation: no daemon used the instance
+ * for another pool. */
 static void
-give_drain_up (struct mt_plan *plan, struct mt_assign_record *record, const char *held_by)
+abandon_drain (struct mt_plan *plan, struct mt_assign_record *record, const char *held_by)
 {
   bool in_wave = record->goal == MT_GOAL_REBOOT;
 
@@ -324,7 +329,8 @@
       plan, "instance %s did not drain within %u s, held by daemon %s: it serves on%s",
       record->instance, drain_limit (plan, record), held_by,
       in_wave ? " and the wave skips it; give the wave a new id to try it again" : "");
-  /* A move that the operator asked for is tried again; its home goes back until then. */
+  /* A move that the operator asked for is retried: until then the pool that it serves is its home
+   * again. */
   if (record->target != NULL && strcmp (record->target, record->home) == 0)
     mt_assign_set_home (plan->next, record, record->pool);
   mt_assign_serve (plan->next, record, record->pool, plan->input->now_s);
@@ -334,11 +340,11 @@
 }
 
 static void
-follow_drain (struct mt_plan *plan, struct mt_assign_record *record)
+step_drain (struct mt_plan *plan, struct mt_assign_record *record)
 {
   const char *held_by = NULL;
 
-  /* Decided in this very step: no daemon can have confirmed it. */
+  /* The drain was decided in this step: no daemon can have confirmed it. */
   if (record->epoch == plan->next->version)
     return;
   if (mt_assign_drain_confirmed (record, plan->input->members, plan->input->n_members, &held_by))
@@ -348,10 +354,10 @@
     }
   if (is_overdue (plan, record) && record->goal != MT_GOAL_LEAVE)
     {
-      give_drain_up (plan, record, held_by);
+      abandon_drain (plan, record, held_by);
       return;
     }
-  if (plan->input->now_s - record->since_s < QUIET_S)
+  if (plan->input->now_s - record->since_s < NORMAL_DRAIN_S)
     return;
   mt_planner_report (plan, "instance %s drains out of pool %s, held by daemon %s", record->instance,
                      record->pool, held_by);
@@ -365,13 +371,14 @@
   g_array_append_val (plan->result->reboots, reboot);
 }
 
-/* The order is repeated until the list shows that this epoch was carried out, whoever plans by
- * then. An instance that does not come back is never put to work again without that: a delayed
- * order could still reach it. */
+/* The order is repeated, by any planner, until the list shows that the reboot with this epoch was
+ * carried out. Before that, an instance that does not come back gets no work: a delayed order could
+ * still reach it. */
 static void
-follow_reboot (struct mt_plan *plan, struct mt_assign_record *record)
+step_reboot (struct mt_plan *plan, struct mt_assign_record *record)
 {
-  const struct mt_planner_instance *listed = mt_planner_listed (plan->input, record->instance);
+  const struct mt_planner_instance *listed
+      = mt_planner_find_instance (plan->input, record->instance);
 
   if (listed != NULL && !listed->down && listed->epoch >= record->epoch)
     {
@@ -405,13 +412,13 @@
 }
 
 static void
-follow_record (struct mt_plan *plan, struct mt_assign_record *record)
+step_record (struct mt_plan *plan, struct mt_assign_record *record)
 {
-  follow_tables (plan, record);
+  apply_tables (plan, record);
   if (record->state == MT_ASSIGN_DRAINING)
-    follow_drain (plan, record);
+    step_drain (plan, record);
   else if (record->state == MT_ASSIGN_REBOOTING)
-    follow_reboot (plan, record);
+    step_reboot (plan, record);
 }
 
 static void
@@ -421,7 +428,7 @@
     {
       const struct mt_assign_record *record = &plan->next->records[i];
 
-      if (record->state != MT_ASSIGN_OUT || mt_planner_row (plan, record->instance) != NULL)
+      if (record->state != MT_ASSIGN_OUT || mt_planner_find_row (plan, record->instance) != NULL)
         continue;
       mt_assign_remove (plan->next, record->instance);
       plan->result->changed = true;
@@ -435,10 +442,11 @@
 {
   struct mt_plan plan = { .input = input, .next = next, .result = result };
 
-  /* A planner that woke up behind the others would undo what newer tables decided. */
+  /* A planner that resumes with old tables would undo what newer tables decided. */
   if (input->tables->version < next->tables_version)
     {
-      mt_planner_report (&plan, "the planner's tables are older than the assignment's; it waits");
+      mt_planner_report (&plan, "the planner's tables are older than those of the assignment "
+                                "document; it waits for newer ones");
       return;
     }
   if (input->tables->version > next->tables_version)
@@ -449,7 +457,7 @@
   index_tables (&plan);
   add_new_instances (&plan);
   for (size_t i = 0; i < next->n_records; i++)
-    follow_record (&plan, &next->records[i]);
+    step_record (&plan, &next->records[i]);
   remove_gone (&plan);
   mt_planner_run_waves (&plan);
   mt_planner_move_capacity (&plan);
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -2,18 +2,18 @@
 
 #include <string.h>
 
-/* One wave, seen from its pool's row in the tables. */
+/* State of one wave. */
 struct wave
 {
   const struct mt_pool *pool;
-  const char *rack; /* worked on now: it is finished before the next is begun */
+  const char *rack; /* current rack: it is finished before the next one begins */
   unsigned waiting;
   unsigned under_way;
   unsigned down; /* waiting, but not live */
 };
 
 static bool
-is_member (const struct wave *wave, const struct mt_assign_record *record)
+belongs_to_wave (const struct wave *wave, const struct mt_assign_record *record)
 {
   return strcmp (record->home, wave->pool->name.data) == 0;
 }
@@ -21,7 +21,7 @@
 static const char *
 rack_of (const struct mt_plan *plan, const char *instance)
 {
-  const struct mt_plan_row *row = mt_planner_row (plan, instance);
+  const struct mt_plan_row *row = mt_planner_find_row (plan, instance);
 
   return row != NULL ? row->instance->rack.data : "";
 }
@@ -35,7 +35,7 @@
 }
 
 static void
-survey (const struct mt_plan *plan, struct wave *wave)
+count_instances (const struct mt_plan *plan, struct wave *wave)
 {
   wave->waiting = 0;
   wave->under_way = 0;
@@ -45,7 +45,7 @@
     {
       const struct mt_assign_record *record = &plan->next->records[i];
 
-      if (!is_member (wave, record) || record->wave_state != MT_WAVE_WAITING)
+      if (!belongs_to_wave (wave, record) || record->wave_state != MT_WAVE_WAITING)
         continue;
       if (is_under_way (record))
         {
@@ -61,8 +61,9 @@
     }
 }
 
-/* Rack by rack: the rack at work first, then by name, so that a rack that fails within the wave
- * takes as few other services along as can be. */
+/* Whether the left rack's instances are rebooted before the right one's. One rack at a time, the
+ * current one first, then by name: a rack that fails during the wave then affects as few other
+ * services as possible. */
 static bool
 comes_before (const struct wave *wave, const char *left, const char *right)
 {
@@ -73,41 +74,44 @@
   return strcmp (left, right) < 0;
 }
 
-/* Asked once for each pool in a row of candidates: the answer counts all records. */
+/* Whether the record's instance may be drained. *closed is the last pool without budget, and saves
+ * counting all records again for the next candidate of that pool. */
 static bool
-may_take (const struct mt_plan *plan, const struct mt_assign_record *record, const char **closed)
+has_budget (const struct mt_plan *plan,
+            const struct mt_assign_record *record,
+            const char **without_budget)
 {
-  if (*closed != NULL && strcmp (*closed, record->pool) == 0)
+  if (*without_budget != NULL && strcmp (*without_budget, record->pool) == 0)
     return false;
   if (mt_planner_may_drain (plan, record->pool))
     return true;
-  *closed = record->pool;
+  *without_budget = record->pool;
   return false;
 }
 
 static struct mt_assign_record *
-pick (const struct mt_plan *plan, const struct wave *wave)
+pick_next (const struct mt_plan *plan, const struct wave *wave)
 {
   struct mt_assign_record *best = NULL;
-  const char *closed = NULL;
+  const char *without_budget = NULL;
 
   for (size_t i = 0; i < plan->next->n_records; i++)
     {
       struct mt_assign_record *record = &plan->next->records[i];
 
       if (record->wave_state != MT_WAVE_WAITING || record->state != MT_ASSIGN_SERVING
-          || !is_member (wave, record) || mt_planner_is_down (plan->input, record->instance))
+          || !belongs_to_wave (wave, record) || mt_planner_is_down (plan->input, record->instance))
         continue;
       if (best != NULL
           && !comes_before (wave, rack_of (plan, record->instance), rack_of (plan, best->instance)))
         continue;
-      if (may_take (plan, record, &closed))
+      if (has_budget (plan, record, &without_budget))
         best = record;
     }
   return best;
 }
 
-/* Nothing is left but instances that are down: waiting for them could last for ever. */
+/* Skips the remaining instances, which are all down: waiting for them could last forever. */
 static void
 skip_down (struct mt_plan *plan, const struct wave *wave)
 {
@@ -115,7 +119,7 @@
     {
       struct mt_assign_record *record = &plan->next->records[i];
 
-      if (!is_member (wave, record) || record->wave_state != MT_WAVE_WAITING
+      if (!belongs_to_wave (wave, record) || record->wave_state != MT_WAVE_WAITING
           || record->state != MT_ASSIGN_SERVING)
         continue;
       record->wave_state = MT_WAVE_SKIPPED;
@@ -138,7 +142,8 @@
       mt_assign_begin_wave (plan->next, pool->name.data, pool->wave.id.data);
       plan->result->changed = true;
     }
-  for (survey (plan, &wave); (record = pick (plan, &wave)) != NULL; survey (plan, &wave))
+  for (count_instances (plan, &wave); (record = pick_next (plan, &wave)) != NULL;
+       count_instances (plan, &wave))
     {
       mt_assign_drain (plan->next, record, MT_GOAL_REBOOT, NULL, plan->input->now_s);
       plan->result->changed = true;
--- a/include/medlartrack/planner.h
+++ b/include/medlartrack/planner.h
@@ -1,8 +1,8 @@
-/* Decides what changes in a data centre's assignment document: sets it up from the tables, ends
- * drains, leads instances out that leave, runs maintenance waves within the budgets, and moves
- * capacity. Pure: everything it knows is in the input, everything it decides is in the next
- * document and the result. Whoever embeds it writes the document by compare-and-swap, and only then
- * orders the reboots. */
+/* Decides what changes in a data centre's assignment document: sets it up from the tables,
+ * completes drains, takes out instances that leave, runs maintenance waves within the budgets, and
+ * moves capacity. Does no I/O: everything it knows is in the input, everything it
+ * decides is in the next document and the result. The caller writes the document by
+ * compare-and-swap, and only then orders the reboots. */
 #ifndef MEDLARTRACK_PLANNER_H
 #define MEDLARTRACK_PLANNER_H
 
@@ -10,13 +10,13 @@
 #include "medlartrack/capacity.h"
 #include "medlartrack/tables.h"
 
-/* One instance as the platform's lagging list has it. */
+/* An instance in the platform's list, which lags. */
 struct mt_planner_instance
 {
   const char *name;
   bool down;      /* not live: failed, rebooting or gone */
-  bool leaving;   /* the platform wants it out */
-  uint64_t boot;  /* grows with each boot */
+  bool leaving;   /* the platform wants to remove it */
+  uint64_t boot;  /* higher after each boot */
   uint64_t epoch; /* of the newest reboot order that it carried out */
 };
 
@@ -24,7 +24,7 @@
 {
   const struct mt_tables *tables;
   const char *zone;
-  int64_t now_s; /* wall time: records outlive planners */
+  int64_t now_s; /* wall-clock time, since records outlive planners */
   const struct mt_assign_member *members;
   size_t n_members;
   const struct mt_planner_instance *instances; /* sorted by name */
@@ -42,26 +42,27 @@
 
 struct mt_planner_result
 {
-  bool changed;       /* the next document differs and wants writing */
+  bool changed;       /* the next document differs and has to be written */
   unsigned moves;     /* drains begun for a move */
   GArray *reboots;    /* struct mt_planner_reboot: to order once the document is written */
-  GPtrArray *reports; /* texts for the operator: what is held up, by what, which edit helps */
+  GPtrArray *reports; /* char *, for the operator: what is delayed, by what, which edit helps */
 };
 
 struct mt_planner_result *mt_planner_result_create (void);
 void mt_planner_result_destroy (struct mt_planner_result *result);
 
-/* Changes next, a copy from mt_assign_next. Does nothing and reports where the tables are older
- * than those that the document was decided from. */
+/* Changes next, a copy from mt_assign_next. If the tables are older than those that the document
+ * was decided from, it only reports that. */
 void mt_planner_step (const struct mt_planner_input *input,
                       struct mt_assign *next,
                       struct mt_planner_result *result);
 
-/* Instances of a service that don't serve now, planned and unplanned, as its budget counts them. */
+/* Returns how many instances of the service don't serve now, planned and unplanned, as its budget
+ * counts them. */
 unsigned mt_planner_unavailable (const struct mt_planner_input *input,
                                  const struct mt_assign *assign,
                                  struct mt_str service);
-/* The service's availability budget in each data centre. */
+/* Returns the service's availability budget for each data centre; UINT_MAX if it has no pool. */
 unsigned mt_planner_budget (const struct mt_tables *tables, struct mt_str service);
 
 #endif
