--- a/tests/control/test_assign_properties.cpp
+++ b/tests/control/test_assign_properties.cpp
@@ -1,7 +1,6 @@
-/* What a buyer would see if this failed: an instance that answers for two pools at once, or a
- * reboot that cuts a request. Planners decide, pause, and write late or lose the answer; daemons
- * act on old documents, report late, or die; the platform's list lags. After each event all
- * promises hold. */
+/* Guards against an instance that serves two pools at once and a reboot that interrupts a request.
+ * Planners decide, pause, and write late or lose the answer; daemons act on old documents, report
+ * late, or die; the platform's list lags. All guarantees must hold after each event. */
 #include "world.h"
 
 #include <rapidcheck.h>
@@ -26,9 +25,9 @@
            tables_json (7, "autumn", "", false, false) };
 }
 
-/* Rounds in which nothing fails, everybody is heard of, and work ends. */
+/* Rounds without failures: every daemon reports and all requests complete. */
 static void
-calm_rounds (World &world, int rounds)
+fault_free_rounds (World &world, int rounds)
 {
   for (int i = 0; i < rounds; i++)
     {
@@ -38,10 +37,10 @@
       for (size_t d = 0; d < world.daemons.size (); d++)
         {
           world.daemons[d].gone = !world.daemons[d].alive;
-          world.daemons[d].cut = false;
+          world.daemons[d].partitioned = false;
           world.daemon_round ((int) d);
         }
-      world.relist ();
+      world.update_list ();
       world.now_s++;
       world.plan_round (world.planners[0]);
     }
@@ -60,13 +59,13 @@
 int
 main ()
 {
-  bool ok = rc::check ("no instance serves two pools, no reboot cuts a request, no plan overspends",
-                       [] {
-                         World world (edits (), 4, 3);
+  bool ok = rc::check (
+      "no instance serves two pools, no reboot interrupts a request, no plan exceeds a budget", [] {
+        World world (edits (), 4, 3);
 
-                         for (const auto &[what, which] : *many_steps ())
-                           world.act (what, which);
-                       });
+        for (const auto &[what, which] : *many_steps ())
+          world.act (what, which);
+      });
 
   ok &= rc::check ("a wave ends once instances return, whatever came before", [] {
     World world (edits (), 4, 3);
@@ -74,7 +73,7 @@
     for (const auto &[what, which] : *many_steps ())
       world.act (what, which);
     world.newest_tables = world.tables.size ();
-    calm_rounds (world, 120);
+    fault_free_rounds (world, 120);
     RC_ASSERT (world.stored->n_records == world.names.size ());
     RC_ASSERT (wave_has_ended (world));
   });
--- a/tests/control/test_capacity.c
+++ b/tests/control/test_capacity.c
@@ -1,4 +1,4 @@
-/* The capacity policies on their own: one pool with demand, one spare. */
+/* Tests of the capacity policies alone, with one pool that has demand and one spare pool. */
 #include "medlartrack/capacity.h"
 
 #include <math.h>
@@ -15,7 +15,7 @@
   struct mt_pool busy;
   struct mt_pool spare;
   struct mt_capacity *capacity;
-  unsigned serving; /* of the busy pool */
+  unsigned serving; /* instances of the busy pool */
   unsigned moves;
   int64_t now_s;
 };
@@ -31,14 +31,14 @@
   scene->capacity = mt_capacity_create (mt_capacity_policy_find (policy));
 }
 
-/* Each second a report; a decided move takes effect at once. */
+/* Reports the demand once a second; a decided move takes effect at once. */
 static void
-pass (struct scene *scene, int64_t seconds, double wanted)
+run_seconds (struct scene *scene, int64_t seconds, double demand)
 {
   for (int64_t end = scene->now_s + seconds; scene->now_s < end;)
     {
       struct mt_capacity_pool pools[] = {
-        { .row = &scene->busy, .serving = scene->serving, .home = 4, .demand_slots = wanted },
+        { .row = &scene->busy, .serving = scene->serving, .home = 4, .demand_slots = demand },
         { .row = &scene->spare, .serving = 8 - scene->serving, .home = 4, .demand_slots = 0 },
       };
       const struct mt_capacity_pool *from;
@@ -59,19 +59,19 @@
     }
 }
 
-/* Surges of eight seconds, more than the pool holds, each minute. */
+/* Once a minute, a surge of eight seconds to more than the pool holds. */
 static void
 surge (struct scene *scene, unsigned times)
 {
   for (unsigned i = 0; i < times; i++)
     {
-      pass (scene, 52, 1);
-      pass (scene, 8, 40);
+      run_seconds (scene, 52, 1);
+      run_seconds (scene, 8, 40);
     }
 }
 
 static void
-test_no_move_where_moves_weigh_most (void **state)
+test_no_move_if_moves_cost_most (void **state)
 {
   struct scene scene;
 
@@ -89,67 +89,68 @@
   begin (&scene, "default", 1, 400);
   for (int i = 0; i < 20; i++)
     {
-      pass (&scene, 58, 1);
-      pass (&scene, 2, 40);
+      run_seconds (&scene, 58, 1);
+      run_seconds (&scene, 2, 40);
     }
   assert_int_equal (scene.moves, 0);
   mt_capacity_destroy (scene.capacity);
 }
 
 static void
-test_lasting_demand_moves_just_enough (void **state)
+test_lasting_demand_moves_only_as_many_as_needed (void **state)
 {
   struct scene scene;
 
   begin (&scene, "default", 10, 1);
-  pass (&scene, 600, 36);
+  run_seconds (&scene, 600, 36);
   assert_int_equal (scene.serving, 6);
   assert_int_equal (scene.moves, 2);
   mt_capacity_destroy (scene.capacity);
 }
 
-/* Hysteresis: demand that swings about a size once a minute moves nothing to and fro. */
+/* Guards against flapping: demand that varies around a pool size once a minute must not move
+ * instances back and forth. */
 static void
-test_swings_do_not_flap (void **state)
+test_varying_demand_does_not_flap (void **state)
 {
   struct scene scene;
 
   begin (&scene, "default", 10, 1);
   for (int i = 0; i < 20; i++)
     {
-      pass (&scene, 60, 36);
-      pass (&scene, 60, 30);
+      run_seconds (&scene, 60, 36);
+      run_seconds (&scene, 60, 30);
     }
   assert_in_range (scene.moves, 1, 2);
   mt_capacity_destroy (scene.capacity);
 }
 
 static void
-test_learnt_surges_are_followed_where_buffer_weighs_most (void **state)
+test_observed_surges_are_followed_if_idle_instances_cost_most (void **state)
 {
   struct scene scene;
 
   begin (&scene, "default", 1, 400);
   surge (&scene, 5);
-  pass (&scene, 40, 1);
+  run_seconds (&scene, 40, 1);
   assert_int_equal (scene.serving, 2);
-  pass (&scene, 8, 40);
+  run_seconds (&scene, 8, 40);
   assert_int_equal (scene.serving, 5);
   mt_capacity_destroy (scene.capacity);
 }
 
-/* One report in between that is nonsense. */
+/* Guards against moves because of a single report with an absurd value. */
 static void
-test_a_lie_moves_nothing (void **state)
+test_absurd_report_moves_nothing (void **state)
 {
   struct scene scene;
 
   begin (&scene, "default", 10, 1);
-  pass (&scene, 100, 4);
-  pass (&scene, 1, 1e12);
-  pass (&scene, 1, INFINITY);
-  pass (&scene, 1, NAN);
-  pass (&scene, 100, 4);
+  run_seconds (&scene, 100, 4);
+  run_seconds (&scene, 1, 1e12);
+  run_seconds (&scene, 1, INFINITY);
+  run_seconds (&scene, 1, NAN);
+  run_seconds (&scene, 100, 4);
   assert_int_equal (scene.moves, 0);
   mt_capacity_destroy (scene.capacity);
 }
@@ -169,12 +170,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_move_where_moves_weigh_most),
+    cmocka_unit_test (test_no_move_if_moves_cost_most),
     cmocka_unit_test (test_no_move_for_a_surge_shorter_than_a_move),
-    cmocka_unit_test (test_lasting_demand_moves_just_enough),
-    cmocka_unit_test (test_swings_do_not_flap),
-    cmocka_unit_test (test_learnt_surges_are_followed_where_buffer_weighs_most),
-    cmocka_unit_test (test_a_lie_moves_nothing),
+    cmocka_unit_test (test_lasting_demand_moves_only_as_many_as_needed),
+    cmocka_unit_test (test_varying_demand_does_not_flap),
+    cmocka_unit_test (test_observed_surges_are_followed_if_idle_instances_cost_most),
+    cmocka_unit_test (test_absurd_report_moves_nothing),
     cmocka_unit_test (test_greedy_follows_every_surge),
   };
 
--- a/tests/control/test_lease.c
+++ b/tests/control/test_lease.c
@@ -47,13 +47,13 @@
 }
 
 static void
-pass (struct fixture *f, unsigned seconds)
+advance_seconds (struct fixture *f, unsigned seconds)
 {
   mt_clock_manual_advance (f->manual, seconds * MT_SECOND);
 }
 
-/* A standby looks on for a minute: the platform may write some tens of times a second for the whole
- * fleet, so it must not write at all. */
+/* A standby watches for a minute. It must not write at all: the platform allows the whole fleet
+ * only some tens of writes a second. */
 static void
 test_standby_writes_nothing (void **state)
 {
@@ -64,7 +64,7 @@
   writes = fake_store_writes (f->fake);
   for (int i = 0; i < 60; i++)
     {
-      pass (f, 1);
+      advance_seconds (f, 1);
       assert_false (mt_lease_step (f->b));
       if (i % 3 == 0)
         {
@@ -77,26 +77,27 @@
   assert_true (fake_store_writes (f->fake) == writes);
 }
 
-/* The holder is frozen past its lease and another takes over. When it wakes up it knows by its own
- * clock that the lease has lapsed, and does not take a new one beside the new holder's. */
+/* The holder is frozen past the end of its lease and another process takes over. When it resumes,
+ * its own clock shows that the lease has expired: it must not acquire a new one beside the new
+ * holder. */
 static void
 test_frozen_holder_stands_by (void **state)
 {
   struct fixture *f = *state;
 
   assert_true (mt_lease_step (f->a));
-  pass (f, 15);
+  advance_seconds (f, 15);
   assert_true (mt_lease_step (f->b));
   assert_false (mt_lease_step (f->a));
-  pass (f, 4);
+  advance_seconds (f, 4);
   assert_true (mt_lease_step (f->b));
   assert_false (mt_lease_step (f->a));
 }
 
-/* The platform lost the lease, as when it was restarted, while its holder lives: the holder must
- * not go on under a new lease without holding the key, since another may. */
+/* The lease expires because all renewals fail, while its holder is alive. Guards against a holder
+ * that continues under a new lease without holding the key, since another process may hold it. */
 static void
-test_lapsed_lease_is_taken_anew_by_one (void **state)
+test_expired_lease_is_reacquired_by_one_only (void **state)
 {
   struct fixture *f = *state;
   bool a;
@@ -105,13 +106,13 @@
   assert_true (mt_lease_step (f->a));
   for (int i = 0; i < 6; i++)
     {
-      pass (f, 2);
+      advance_seconds (f, 2);
       fake_store_fault_next (f->fake, FAKE_FAULT_FAIL, 1, false);
       mt_lease_step (f->a);
     }
   for (int i = 0; i < 10; i++)
     {
-      pass (f, 2);
+      advance_seconds (f, 2);
       a = mt_lease_step (f->a);
       b = mt_lease_step (f->b);
       assert_false (a && b);
@@ -119,26 +120,25 @@
   assert_true (a || b);
 }
 
-/* The platform forgets the lease while its holder is well, as after a restart of the platform. The
- * holder hears of it at the next renewal: it must stand by, since the key is free for others from
- * then on. */
+/* The platform loses the lease, for example in a restart, while its holder is well. The holder
+ * notices at the next renewal and must stand by: from then on, others can acquire the key. */
 static void
-test_forgotten_lease_ends_the_duty (void **state)
+test_lease_lost_by_platform_ends_leadership (void **state)
 {
   struct fixture *f = *state;
   const struct mt_store *store = fake_store_store (f->fake);
 
   assert_true (mt_lease_step (f->a));
   store->ops->lease_end (store->ctx, "lease-1");
-  pass (f, 4);
+  advance_seconds (f, 4);
   assert_false (mt_lease_step (f->a));
   assert_true (mt_lease_step (f->b));
 }
 
-/* The answer to a write is lost on the way to the lease: some steps later it is held all the same.
- */
+/* The answer to a write is lost while the lease is acquired: some steps later it must be held
+ * nevertheless. */
 static void
-test_lost_answer_on_the_way (void **state)
+test_lease_is_acquired_despite_lost_answer (void **state)
 {
   struct fixture *f = *state;
 
@@ -146,7 +146,7 @@
   mt_lease_step (f->a);
   for (int i = 0; i < 8; i++)
     {
-      pass (f, 4);
+      advance_seconds (f, 4);
       if (mt_lease_step (f->a))
         return;
     }
@@ -160,9 +160,9 @@
   const struct CMUnitTest tests[] = {
     LEASE_TEST (test_standby_writes_nothing),
     LEASE_TEST (test_frozen_holder_stands_by),
-    LEASE_TEST (test_lapsed_lease_is_taken_anew_by_one),
-    LEASE_TEST (test_forgotten_lease_ends_the_duty),
-    LEASE_TEST (test_lost_answer_on_the_way),
+    LEASE_TEST (test_expired_lease_is_reacquired_by_one_only),
+    LEASE_TEST (test_lease_lost_by_platform_ends_leadership),
+    LEASE_TEST (test_lease_is_acquired_despite_lost_answer),
   };
 
   return cmocka_run_group_tests_name ("lease", tests, NULL, NULL);
--- a/tests/control/test_planner.cpp
+++ b/tests/control/test_planner.cpp
@@ -1,4 +1,4 @@
-/* Single failures of moves and waves, each with what the operator sees. */
+/* Single failures of moves and waves, each with the report to the operator. */
 #include "world.h"
 
 #include <csetjmp>
@@ -13,7 +13,7 @@
 static const std::string WAVE_1 = tables_json (1, "w1", "", false, false);
 
 static void
-calm_round (World &world)
+fault_free_round (World &world)
 {
   for (size_t d = 0; d < world.daemons.size (); d++)
     world.daemon_round ((int) d);
@@ -30,15 +30,16 @@
 static bool
 reports_mention (const World &world, const std::string &text)
 {
-  for (const std::string &report : world.planners[0].told)
+  for (const std::string &report : world.planners[0].operator_reports)
     if (report.find (text) != std::string::npos)
       return true;
   return false;
 }
 
-/* The operator moves a3 to pool b. Daemon d1 took the first document and was cut off before anyone
- * heard of its versions; its requests still run on a3. To take its silence for consent would let a3
- * serve a and b at once: the move is held and the operator reads by whom. */
+/* The operator moves a3 to pool b. Daemon d1 fetched the first document and was partitioned before
+ * it reported any version; its requests still run on a3. Guards against taking its silence as
+ * confirmation, which would let a3 serve a and b at once: the move must wait, and the report must
+ * name d1. */
 static void
 test_silent_daemon_holds_a_move (void **state)
 {
@@ -47,65 +48,66 @@
 
   world.plan_round (world.planners[0]);
   world.fetch (world.daemons[1]);
-  world.daemons[1].cut = true;
+  world.daemons[1].partitioned = true;
   world.newest_tables = 2;
   for (int i = 0; i < 20; i++)
     {
       world.now_s++;
-      calm_round (world);
+      fault_free_round (world);
     }
   assert_int_equal (record_of (world, "a3")->state, MT_ASSIGN_DRAINING);
   assert_true (reports_mention (world, "held by daemon d1"));
-  world.daemons[1].cut = false;
+  world.daemons[1].partitioned = false;
   for (int i = 0; i < 20; i++)
-    calm_round (world);
+    fault_free_round (world);
   assert_string_equal (record_of (world, "a3")->pool, "b");
   assert_int_equal (record_of (world, "a3")->state, MT_ASSIGN_SERVING);
 }
 
-/* A planner orders a1's reboot and freezes before the order leaves. The limit passes; whoever plans
- * next must not put a1 to work, or the late order would cut a request. */
+/* A planner decides a1's reboot and freezes before it sends the order. The time limit passes.
+ * Guards against a later planner that lets a1 serve again: the delayed order would interrupt a
+ * request. */
 static void
-test_late_order_cuts_nothing (void **state)
+test_delayed_order_interrupts_no_request (void **state)
 {
   World world ({ WAVE_1 }, 2, 2);
   Planner &frozen = world.planners[1];
 
-  calm_round (world);
+  fault_free_round (world);
   while (record_of (world, "a1")->state != MT_ASSIGN_REBOOTING)
     {
       world.daemon_round (0);
       world.daemon_round (1);
-      world.hear (frozen);
+      world.refresh (frozen);
       world.decide (frozen);
       world.write (frozen, false);
     }
-  world.hear (frozen);
+  world.refresh (frozen);
   world.decide (frozen);
-  world.planners[0].deaf_platform = true;
+  world.planners[0].orders_lost = true;
   world.now_s += 100;
   for (int i = 0; i < 10; i++)
     {
-      calm_round (world);
+      fault_free_round (world);
       world.start (0, "a1");
     }
   assert_int_equal (record_of (world, "a1")->wave_state, MT_WAVE_SKIPPED);
   assert_true (reports_mention (world, "instance a1 did not come back"));
   world.order (frozen);
   world.revive ("a1");
-  world.relist ();
-  calm_round (world);
+  world.update_list ();
+  fault_free_round (world);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_SERVING);
 }
 
-/* A request on a1 never ends. After the limit a1 serves on, the wave skips it and ends elsewhere.
- */
+/* A request on a1 never completes. After the time limit a1 must serve again, and the wave must skip
+ * it and finish on the other instances. */
 static void
-test_wave_skips_one_that_never_drains (void **state)
+test_wave_skips_instance_that_never_drains (void **state)
 {
   World world ({ WAVE_1 }, 1, 1);
 
-  calm_round (world);
+  fault_free_round (world);
   world.fetch (world.daemons[0]);
   world.plan_round (world.planners[0]);
   for (int i = 0; i < 100; i++)
@@ -114,9 +116,9 @@
         world.work.emplace ("a1", Work{ 0, "a" });
       for (const std::string &name : world.names)
         world.revive (name);
-      world.relist ();
+      world.update_list ();
       world.now_s += 5;
-      calm_round (world);
+      fault_free_round (world);
     }
   assert_int_equal (record_of (world, "a1")->wave_state, MT_WAVE_SKIPPED);
   for (const std::string &name : world.names)
@@ -124,10 +126,10 @@
       assert_int_equal (record_of (world, name.c_str ())->wave_state, MT_WAVE_DONE);
 }
 
-/* A planner dies in the middle of a wave, after its write and before its order. Another one goes on
- * from the records; no instance is rebooted twice. */
+/* A planner dies in the middle of a wave, between its write and its reboot order. Another one must
+ * continue from the records, without rebooting an instance twice. */
 static void
-test_wave_goes_on_after_the_planner_died (void **state)
+test_wave_continues_after_planner_died (void **state)
 {
   World world ({ WAVE_1 }, 1, 8);
 
@@ -138,8 +140,8 @@
       world.daemon_round (0);
       for (const std::string &name : world.names)
         world.revive (name);
-      world.relist ();
-      world.hear (planner);
+      world.update_list ();
+      world.refresh (planner);
       world.decide (planner);
       world.write (planner, i % 8 == 7);
       if (i % 8 != 7)
@@ -148,54 +150,54 @@
   for (const std::string &name : world.names)
     {
       assert_int_equal (record_of (world, name.c_str ())->wave_state, MT_WAVE_DONE);
-      assert_int_equal (world.truth[name].boot, 2);
+      assert_int_equal (world.actual[name].boot, 2);
     }
 }
 
-/* The platform's list calls a1 leaving, then, lagging, live again; the operator's edit is older
- * still. Only a later boot brings it back. */
+/* The platform's list shows a1 as leaving, then, lagging, as live again; the operator's edit is
+ * older still. Only a later boot may bring a1 back. */
 static void
-test_nothing_older_un_leaves (void **state)
+test_only_later_boot_brings_instance_back (void **state)
 {
   World world ({ tables_json (1, "", "", false, false) }, 1, 1);
 
-  calm_round (world);
-  world.truth["a1"].leaving = true;
-  world.relist ();
+  fault_free_round (world);
+  world.actual["a1"].leaving = true;
+  world.update_list ();
   for (int i = 0; i < 4; i++)
-    calm_round (world);
+    fault_free_round (world);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_OUT);
-  world.truth["a1"].leaving = false;
-  world.relist ();
+  world.actual["a1"].leaving = false;
+  world.update_list ();
   for (int i = 0; i < 4; i++)
-    calm_round (world);
+    fault_free_round (world);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_OUT);
-  world.truth["a1"].boot++;
-  world.relist ();
-  calm_round (world);
+  world.actual["a1"].boot++;
+  world.update_list ();
+  fault_free_round (world);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_SERVING);
 }
 
-/* An instance of pool a fails unplanned: the wave takes no other one of a meanwhile. A stop by edit
- * ends what was begun and begins nothing. */
+/* An instance of pool a fails: the wave must take no other one of pool a meanwhile. A stop by an
+ * edit of the tables completes what was begun and begins nothing more. */
 static void
-test_wave_yields_to_a_failure_and_to_a_stop (void **state)
+test_wave_stops_for_a_failure_and_on_request (void **state)
 {
   World world ({ WAVE_1, tables_json (2, "w1", "", false, true) }, 1, 1);
 
   world.crash ("a2");
-  world.relist ();
+  world.update_list ();
   for (int i = 0; i < 5; i++)
-    calm_round (world);
+    fault_free_round (world);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_SERVING);
   assert_int_equal (record_of (world, "b1")->state, MT_ASSIGN_REBOOTING);
   assert_true (reports_mention (world, "wave w1 of pool a waits"));
   world.newest_tables = 2;
   world.revive ("a2");
   world.revive ("b1");
-  world.relist ();
+  world.update_list ();
   for (int i = 0; i < 5; i++)
-    calm_round (world);
+    fault_free_round (world);
   assert_int_equal (record_of (world, "b1")->wave_state, MT_WAVE_DONE);
   assert_int_equal (record_of (world, "a1")->state, MT_ASSIGN_SERVING);
   assert_int_equal (record_of (world, "b2")->state, MT_ASSIGN_SERVING);
@@ -206,11 +208,11 @@
 {
   const CMUnitTest tests[] = {
     cmocka_unit_test (test_silent_daemon_holds_a_move),
-    cmocka_unit_test (test_late_order_cuts_nothing),
-    cmocka_unit_test (test_wave_skips_one_that_never_drains),
-    cmocka_unit_test (test_wave_goes_on_after_the_planner_died),
-    cmocka_unit_test (test_nothing_older_un_leaves),
-    cmocka_unit_test (test_wave_yields_to_a_failure_and_to_a_stop),
+    cmocka_unit_test (test_delayed_order_interrupts_no_request),
+    cmocka_unit_test (test_wave_skips_instance_that_never_drains),
+    cmocka_unit_test (test_wave_continues_after_planner_died),
+    cmocka_unit_test (test_only_later_boot_brings_instance_back),
+    cmocka_unit_test (test_wave_stops_for_a_failure_and_on_request),
   };
 
   return cmocka_run_group_tests (tests, nullptr, nullptr);
--- a/tests/control/test_proxied.c
+++ b/tests/control/test_proxied.c
@@ -67,12 +67,12 @@
   return f->held;
 }
 
-/* A daemon that is cut off from the platform gets the assignment from this one. The planner can't
- * know of it, and would move the draining instance while that daemon still sends it work. So this
- * daemon reports the drain as held until it has written the other's key, which the planner then
- * waits for. */
+/* A daemon partitioned from the platform gets the assignment from this one. The planner doesn't
+ * know of it, and would move the draining instance while that daemon still sends it requests. So
+ * this daemon must report the drain as held until it has written the other daemon's key, which the
+ * planner then waits for. */
 static void
-test_handed_document_holds_drains_until_registered (void **state)
+test_forwarded_document_holds_drains_until_registered (void **state)
 {
   struct fixture *f = *state;
   const struct mt_store *store = fake_store_store (f->fake);
@@ -88,8 +88,8 @@
   assert_int_equal (fake_store_count (f->fake, MT_HOLDERS_PREFIX "west/cut-off/"), 1);
 }
 
-/* The key's write is lost on its way, or its answer is: the drain stays held until a read shows it.
- */
+/* The write of the key or its answer is lost: the drain must stay held until a read shows the
+ * key. */
 static void
 test_lost_write_keeps_holding (void **state)
 {
@@ -105,7 +105,7 @@
 }
 
 static void
-test_registered_daemon_costs_a_read (void **state)
+test_registered_daemon_costs_only_a_read (void **state)
 {
   struct fixture *f = *state;
   uint64_t writes;
@@ -118,9 +118,10 @@
   assert_true (fake_store_writes (f->fake) == writes);
 }
 
-/* A frame with a made-up sender must not write keys elsewhere in the store, nor fill the memory. */
+/* Guards against a frame with a forged sender that writes keys elsewhere in the store or fills the
+ * memory. */
 static void
-test_strange_names_get_nothing (void **state)
+test_forged_names_are_rejected (void **state)
 {
   struct fixture *f = *state;
 
@@ -140,12 +141,12 @@
 int
 main (void)
 {
-#define WARD_TEST(name) cmocka_unit_test_setup_teardown (name, set_up, tear_down)
+#define PROXIED_TEST(name) cmocka_unit_test_setup_teardown (name, set_up, tear_down)
   const struct CMUnitTest tests[] = {
-    WARD_TEST (test_handed_document_holds_drains_until_registered),
-    WARD_TEST (test_lost_write_keeps_holding),
-    WARD_TEST (test_registered_daemon_costs_a_read),
-    WARD_TEST (test_strange_names_get_nothing),
+    PROXIED_TEST (test_forwarded_document_holds_drains_until_registered),
+    PROXIED_TEST (test_lost_write_keeps_holding),
+    PROXIED_TEST (test_registered_daemon_costs_only_a_read),
+    PROXIED_TEST (test_forged_names_are_rejected),
   };
 
   return cmocka_run_group_tests_name ("wards", tests, NULL, NULL);
--- a/tests/control/world.cpp
+++ b/tests/control/world.cpp
@@ -83,10 +83,10 @@
     for (int i = 1; i <= 3; i++)
       names.push_back (pool + std::to_string (i));
   for (const std::string &name : names)
-    truth[name] = Instance ();
+    actual[name] = Instance ();
   list.resize (names.size ());
   for (Planner &planner : planners)
-    hear (planner);
+    refresh (planner);
 }
 
 World::~World ()
@@ -96,14 +96,14 @@
 }
 
 void
-World::hear (Planner &planner)
+World::refresh (Planner &planner)
 {
   planner.reports = reports;
   planner.list = list;
   planner.tables = newest_tables;
 }
 
-/* The planner's input as it knows the world: late in every part. */
+/* The planner's input as the planner knows it: every part may be outdated. */
 struct Input
 {
   std::vector<mt_assign_member> members;
@@ -159,12 +159,13 @@
     {
       const auto &reboot = g_array_index (result->reboots, mt_planner_reboot, i);
 
-      /* Ordered only once the document that says so is written; repeated orders are written. */
+      /* Ordered only once the document that records it is written; repeated orders are recorded
+       * already. */
       planner.reboots.emplace_back (reboot.instance, reboot.epoch);
     }
-  planner.told.clear ();
+  planner.operator_reports.clear ();
   for (guint i = 0; i < result->reports->len; i++)
-    planner.told.emplace_back ((const char *) result->reports->pdata[i]);
+    planner.operator_reports.emplace_back ((const char *) result->reports->pdata[i]);
   if (!result->changed)
     planner.to_order = planner.reboots;
   mt_planner_result_destroy (result);
@@ -180,7 +181,7 @@
       g_autofree char *text = mt_assign_format (planner.next.get ());
       mt_assign *read = mt_assign_parse (mt_str_from (text), nullptr);
 
-      require (read != nullptr, "the document reads back");
+      require (read != nullptr, "a written document can be parsed");
       stored = own (read);
       index++;
       if (!answer_lost)
@@ -194,14 +195,14 @@
 {
   for (const auto &[name, epoch] : planner.to_order)
     {
-      if (planner.deaf_platform)
+      if (planner.orders_lost)
         continue;
-      Instance &instance = truth[name];
+      Instance &instance = actual[name];
 
       if (epoch <= instance.epoch)
         continue;
       for (auto [at, end] = work.equal_range (name); at != end; ++at)
-        require (!daemons[at->second.daemon].alive, "reboot of " + name + " cuts a request");
+        require (!daemons[at->second.daemon].alive, "reboot of " + name + " interrupts a request");
       instance.epoch = epoch;
       instance.down = true;
     }
@@ -211,7 +212,7 @@
 void
 World::fetch (Daemon &daemon)
 {
-  if (daemon.alive && !daemon.cut
+  if (daemon.alive && !daemon.partitioned
       && (daemon.doc == nullptr || stored->version > daemon.doc->version))
     daemon.doc = stored;
 }
@@ -223,7 +224,7 @@
   const mt_assign_record *record
       = d.alive && d.doc != nullptr ? mt_assign_find (d.doc.get (), name.c_str ()) : nullptr;
 
-  if (record == nullptr || record->state != MT_ASSIGN_SERVING || truth[name].down)
+  if (record == nullptr || record->state != MT_ASSIGN_SERVING || actual[name].down)
     return;
   work.emplace (name, Work{ daemon, record->pool });
 }
@@ -242,7 +243,7 @@
 {
   Daemon &d = daemons[daemon];
 
-  if (!d.alive || d.cut || d.doc == nullptr)
+  if (!d.alive || d.partitioned || d.doc == nullptr)
     return;
   reports[daemon] = Report{ d.doc->version, {} };
   for (const auto &[name, one] : work)
@@ -253,14 +254,14 @@
 void
 World::crash (const std::string &name)
 {
-  truth[name].down = true;
+  actual[name].down = true;
   work.erase (name);
 }
 
 void
 World::revive (const std::string &name)
 {
-  Instance &instance = truth[name];
+  Instance &instance = actual[name];
 
   if (!instance.down)
     return;
@@ -269,10 +270,10 @@
 }
 
 void
-World::relist ()
+World::update_list ()
 {
   for (size_t i = 0; i < names.size (); i++)
-    list[i] = truth[names[i]];
+    list[i] = actual[names[i]];
 }
 
 static unsigned
@@ -292,8 +293,8 @@
   return count;
 }
 
-/* Counted apart from the planner: where a step takes one more out by plan, all that it knew to be
- * out of the service must fit the budget together. */
+/* Checks the budgets independently of the planner: if a step takes one more instance out by plan,
+ * all that it knew to be out of the service must fit the budget. */
 void
 World::check_budgets (const Planner &planner, const mt_assign *before, const mt_assign *after)
 {
@@ -319,7 +320,7 @@
             continue;
           out += record->state != MT_ASSIGN_SERVING || planner.list[i].down;
         }
-      require (out <= in_force->pools[p].max_unavailable, "the budget is overspent by plan");
+      require (out <= in_force->pools[p].max_unavailable, "a planned drain exceeds the budget");
     }
 }
 
@@ -349,7 +350,7 @@
 void
 World::plan_round (Planner &planner)
 {
-  hear (planner);
+  refresh (planner);
   decide (planner);
   write (planner, false);
   order (planner);
@@ -378,7 +379,7 @@
       plan_round (planner);
       break;
     case 2:
-      hear (planner);
+      refresh (planner);
       decide (planner);
       write (planner, false);
       break;
@@ -409,20 +410,20 @@
       heartbeat (daemon);
       break;
     case 12:
-      hear (planner);
+      refresh (planner);
       break;
     case 13:
       which % 3 == 0 ? crash (name) : revive (name);
       break;
     case 14:
-      relist ();
+      update_list ();
       for (Daemon &d : daemons)
         d.gone = !d.alive;
       break;
     default:
       now_s += which % 60;
       if (which % 5 == 0)
-        daemons[daemon].cut = !daemons[daemon].cut;
+        daemons[daemon].partitioned = !daemons[daemon].partitioned;
       if (which % 4 == 0 && newest_tables < tables.size ())
         newest_tables++;
       if (which % 23 == 0 && daemon != 0)
--- a/tests/control/world.h
+++ b/tests/control/world.h
@@ -1,6 +1,7 @@
-/* A world of fakes round the planner: one stored value with lost answers, planners that pause
- * between reading and writing, daemons with views and requests of their own, a lagging list. Every
- * step is one small event, so that a sequence of numbers is any interleaving. */
+/* Simulated environment of the planner: one stored value whose writes may lose their answer,
+ * planners that pause between reading and writing, daemons with their own documents and requests,
+ * and a list that lags. Every step is one small event, so that a sequence of numbers gives any
+ * interleaving. */
 #ifndef TEST_WORLD_H
 #define TEST_WORLD_H
 
@@ -34,7 +35,7 @@
   bool operator== (const Instance &) const = default;
 };
 
-/* A request at work: which daemon sent it, for which pool. */
+/* A request in flight: which daemon sent it, for which pool. */
 struct Work
 {
   int daemon;
@@ -50,30 +51,30 @@
 struct Daemon
 {
   bool alive = true;
-  bool cut = false;  /* alive and serving, but hears and is heard by nobody */
-  bool gone = false; /* the platform's list says so: later than it died */
+  bool partitioned = false; /* alive and serving, but partitioned from all others */
+  bool gone = false;        /* the platform's list says so; later than it died */
   Doc doc;
 };
 
 struct Planner
 {
   uint64_t tables = 1;
-  Doc next; /* decided and not written yet: it may pause here as long as it likes */
+  Doc next; /* decided and not written yet: the planner may pause here for any time */
   uint64_t index = 0;
   std::vector<std::pair<std::string, uint64_t>> reboots;
   std::vector<std::pair<std::string, uint64_t>> to_order;
   std::vector<Report> reports;
   std::vector<Instance> list;
-  std::vector<std::string> told; /* reports of the last step */
-  bool deaf_platform = false;    /* its orders don't arrive */
+  std::vector<std::string> operator_reports; /* reports of the last step */
+  bool orders_lost = false;                  /* its orders don't arrive */
 };
 
 struct World
 {
   std::vector<mt_tables *> tables; /* one for each accepted version, in order */
   std::vector<std::string> names;
-  std::map<std::string, Instance> truth;
-  std::vector<Instance> list; /* lags behind the truth */
+  std::map<std::string, Instance> actual;
+  std::vector<Instance> list; /* lags behind the actual state */
   std::multimap<std::string, Work> work;
   Doc stored;
   uint64_t index = 0;
@@ -96,12 +97,13 @@
   void start (int daemon, const std::string &name);
   void finish (const std::string &name);
   void heartbeat (int daemon);
-  void hear (Planner &planner);
+  void refresh (Planner &planner);
   void crash (const std::string &name);
   void revive (const std::string &name);
-  void relist ();
+  void update_list ();
   void check_budgets (const Planner &planner, const mt_assign *before, const mt_assign *after);
-  /* No instance is one that two daemons would use for two pools, or has work of two. */
+  /* Checks that no daemons use the same instance for different pools and that no instance has
+   * requests of two pools in flight. */
   void check_one_pool () const;
   void plan_round (Planner &planner);
   void daemon_round (int daemon);
@@ -109,7 +111,8 @@
 };
 
 void require (bool ok, const std::string &what);
-/* Tables of one data centre with pools a, b and spare, three instances each in racks of three. */
+/* Returns tables of one data centre with the pools a, b and spare, of three instances in three
+ * racks each. */
 std::string tables_json (uint64_t version,
                          const std::string &wave,
                          const std::string &more_of_a1,
