--- a/core/control/capacity.c
+++ b/core/control/capacity.c
@@ -149,7 +149,7 @@
     .delays_release = true },
   { .name = "static", .description = "keeps the tables' sizes", .decide = decide_static },
   { .name = "greedy",
-    .description = "follows the current demand, whatever the moves cost",
+    .description = "follows the current demand, without regard to moves",
     .decide = decide_greedy,
     .moves = true },
   { .name = NULL },
