--- a/core/scheduler/scheduler_place.c
+++ b/core/scheduler/scheduler_place.c
@@ -88,11 +88,11 @@
 double
 mt_step_expected_ms (const struct mt_route *route, const struct mt_step *step)
 {
-  double guess = (double) step->estimate_ms;
+  double estimate_ms = (double) step->estimate_ms;
 
   if (route->mean_ms <= 0 || route->estimate_ms <= 0)
-    return guess;
-  return (guess * route->mean_ms / route->estimate_ms + route->mean_ms) / 2;
+    return estimate_ms;
+  return (estimate_ms * route->mean_ms / route->estimate_ms + route->mean_ms) / 2;
 }
 
 /* The objective depends on the steps' real run times, which the caller only estimates: ended steps
@@ -201,9 +201,9 @@
     }
   else
     {
-      bool over = now + (int64_t) o->chain_ms > b->occ->due_at + MAX_LATE_OBJECTIVES * allowed;
+      bool hopeless = now + (int64_t) o->chain_ms > b->occ->due_at + MAX_LATE_OBJECTIVES * allowed;
 
-      b->class = over ? CLASS_HOPELESS : CLASS_OVERDUE;
+      b->class = hopeless ? CLASS_HOPELESS : CLASS_OVERDUE;
       b->rank = (double) b->occ->due_at;
     }
 }
--- a/include/medlartrack/scheduler.h
+++ b/include/medlartrack/scheduler.h
@@ -20,7 +20,7 @@
   int64_t lease_ms;      /* lease that each hold grants to a worker's tasks */
   int64_t max_lease_ms;  /* longest lease that a worker accepts */
   double remote_factor;  /* multiple of the run time on a worker away from the data */
-  int64_t retention_ms;  /* how long a job's records are kept after its end */
+  int64_t retention_ms;  /* shortest time that a job's records are kept after its end */
   int64_t stop_grace_ms; /* how long a run may go on after it was told to stop */
 };
 
@@ -82,9 +82,9 @@
   const char *workspace;
   struct mt_resources used;            /* running, ordered, or being stopped */
   struct mt_resources waiting;         /* needed by tasks that could start */
-  struct mt_resources largest_waiting; /* largest need of one of these */
+  struct mt_resources largest_waiting; /* largest need of one such task */
   struct mt_resources granted;         /* by the last message that named the workspace */
-  bool has_grant;                      /* a message has */
+  bool has_grant;                      /* a message has named the workspace */
 };
 
 /* Fills `out` with the accounts of workspaces that have a limit. Unless the last grant message
@@ -348,20 +348,19 @@
 {
   unsigned jobs;    /* that have not ended */
   unsigned waiting; /* tasks that could start now but lack resources */
-  unsigned urgent;  /* ... of these, long-running tasks and tasks of jobs that can still meet their
-                       objective */
+  unsigned urgent;  /* ... of these, long-running, or of jobs that can still meet their objective */
   unsigned running;
-  int64_t
-      demand_cpu; /* needed for long-running tasks and to keep those jobs within their objective */
-  int64_t arriving_cpu;     /* that jobs will keep busy if they go on arriving as recently */
-  int64_t capacity_cpu;     /* of workers that accept work */
-  int64_t long_running_cpu; /* ... of this, used by long-running tasks */
+  int64_t demand_cpu;   /* processors to run long-running tasks and to keep those jobs within their
+                           objective */
+  int64_t arriving_cpu; /* processors that jobs will keep busy if they go on arriving as recently */
+  int64_t capacity_cpu; /* processors of workers that accept work */
+  int64_t long_running_cpu; /* ... used by long-running tasks */
   int64_t used_cpu;
-  int64_t urgent_used_cpu; /* ... of this, by long-running tasks and by jobs whose objective has not
+  int64_t urgent_used_cpu; /* ... used by long-running tasks and by jobs whose objective has not
                               passed */
-  int64_t upcoming_cpu; /* that jobs whose objective has not passed will soon keep busy, without new
-                           jobs */
-  int64_t overdue_cpu;  /* that would complete, within some seconds, the work past its objective */
+  int64_t upcoming_cpu; /* processors that jobs whose objective has not passed will soon keep busy,
+                           without new jobs */
+  int64_t overdue_cpu;  /* processors to complete the work past its objective within some seconds */
   unsigned unplaceable; /* long-running tasks that no worker accepting work can run: waiting, or on
                            a worker to be drained */
   unsigned workers;
