--- a/core/once/dated.c
+++ b/core/once/dated.c
@@ -31,12 +31,12 @@
   return true;
 }
 
-/* A claim is trimmed keep_us + 4 skews after it was written, by its writer's clock, and it is
- * written no earlier than one skew before the key's date (a later date is refused here). So while
- * this daemon's clock, off by one skew at most, stands before date + keep_us, the claim is there.
- */
+/* A claim is trimmed retention_us + 4 clock skews after it was written, by its writer's clock, and
+ * it is written no earlier than one skew before the key's date (a later date is refused here). So
+ * as long as this daemon's clock, off by one skew at most, is before date + retention_us, the claim
+ * is in the log. */
 bool
-mt_once_date_expired (int64_t date_us, int64_t wall_us, int64_t keep_us)
+mt_once_date_expired (int64_t date_us, int64_t wall_us, int64_t retention_us)
 {
-  return wall_us >= date_us + keep_us || date_us > wall_us + MT_ONCE_MAX_CLOCK_SKEW_US;
+  return wall_us >= date_us + retention_us || date_us > wall_us + MT_ONCE_MAX_CLOCK_SKEW_US;
 }
--- a/core/once/held.c
+++ b/core/once/held.c
@@ -1,9 +1,9 @@
 #include "held.h"
 
-struct mt_held
+struct mt_claim_table
 {
-  GHashTable *claims;   /* a set of struct mt_held_claim, keyed by its first field */
-  GHashTable *released; /* a set of struct released; few, since releases follow claims */
+  GHashTable *claims;   /* a set of struct mt_claim_entry, keyed by its first field */
+  GHashTable *released; /* a set of struct released; few: releases normally follow claims */
 };
 
 struct released
@@ -27,35 +27,35 @@
   return x[0] == y[0] && x[1] == y[1];
 }
 
-struct mt_held *
-mt_held_create (void)
+struct mt_claim_table *
+mt_claim_table_create (void)
 {
-  struct mt_held *held = g_new0 (struct mt_held, 1);
+  struct mt_claim_table *table = g_new0 (struct mt_claim_table, 1);
 
-  held->claims = g_hash_table_new_full (mt_id_hash, mt_id_equal, g_free, NULL);
-  held->released = g_hash_table_new_full (mt_id_hash, mt_id_equal, g_free, NULL);
-  return held;
+  table->claims = g_hash_table_new_full (mt_id_hash, mt_id_equal, g_free, NULL);
+  table->released = g_hash_table_new_full (mt_id_hash, mt_id_equal, g_free, NULL);
+  return table;
 }
 
 void
-mt_held_destroy (struct mt_held *held)
+mt_claim_table_destroy (struct mt_claim_table *table)
 {
-  g_hash_table_destroy (held->claims);
-  g_hash_table_destroy (held->released);
-  g_free (held);
+  g_hash_table_destroy (table->claims);
+  g_hash_table_destroy (table->released);
+  g_free (table);
 }
 
 void
-mt_held_forget_all (struct mt_held *held)
+mt_claim_table_clear (struct mt_claim_table *table)
 {
-  g_hash_table_remove_all (held->claims);
-  g_hash_table_remove_all (held->released);
+  g_hash_table_remove_all (table->claims);
+  g_hash_table_remove_all (table->released);
 }
 
 static gboolean
 is_below (gpointer key, gpointer value, gpointer seq)
 {
-  const struct mt_held_claim *claim = key;
+  const struct mt_claim_entry *claim = key;
 
   return claim->seq < *(const uint64_t *) seq;
 }
@@ -69,66 +69,66 @@
 }
 
 void
-mt_held_forget_below (struct mt_held *held, uint64_t seq)
+mt_claim_table_remove_below (struct mt_claim_table *table, uint64_t seq)
 {
-  g_hash_table_foreach_remove (held->claims, is_below, &seq);
-  g_hash_table_foreach_remove (held->released, is_released_below, &seq);
+  g_hash_table_foreach_remove (table->claims, is_below, &seq);
+  g_hash_table_foreach_remove (table->released, is_released_below, &seq);
 }
 
-static struct mt_held_claim *
-find (const struct mt_held *held, const uint64_t key[2])
+static struct mt_claim_entry *
+find (const struct mt_claim_table *table, const uint64_t key[2])
 {
-  return g_hash_table_lookup (held->claims, key);
+  return g_hash_table_lookup (table->claims, key);
 }
 
-static struct mt_held_claim *
-insert (struct mt_held *held, const struct mt_record *record)
+static struct mt_claim_entry *
+insert (struct mt_claim_table *table, const struct mt_record *record)
 {
-  struct mt_held_claim *claim = g_new0 (struct mt_held_claim, 1);
+  struct mt_claim_entry *claim = g_new0 (struct mt_claim_entry, 1);
 
   claim->key[0] = record->key[0];
   claim->key[1] = record->key[1];
   claim->attempt[0] = record->attempt[0];
   claim->attempt[1] = record->attempt[1];
-  g_hash_table_add (held->claims, claim);
+  g_hash_table_add (table->claims, claim);
   return claim;
 }
 
-/* The end of an attempt whose claim is trimmed already stands for the claim. */
+/* If the claim is already trimmed, the end of its attempt takes its place. */
 static void
-apply_end (struct mt_held *held,
-           struct mt_held_claim *claim,
+apply_end (struct mt_claim_table *table,
+           struct mt_claim_entry *claim,
            const struct mt_record *record,
            uint64_t seq)
 {
   if (claim == NULL)
-    claim = insert (held, record);
-  claim->state = record->kind == MT_RECORD_DONE ? MT_HELD_DONE : MT_HELD_LOST;
+    claim = insert (table, record);
+  claim->state = record->kind == MT_RECORD_DONE ? MT_CLAIM_STATE_DONE : MT_CLAIM_STATE_LOST;
   claim->status = (uint16_t) record->extra;
   claim->seq = seq;
 }
 
-/* A claim in the log always found its key free, in a complete view. Where this view still holds an
- * older claim, that one is past keeping and its writer's view had trimmed it already. Keeping the
- * older one instead would lose the newer as soon as this view is trimmed too, and grant the key a
- * second time. */
+/* A claim in the log was written from a complete view in which its key was free. If this view still
+ * holds an older claim, that one is past its retention and was trimmed from the writer's view.
+ * Keeping the older claim would lose the newer one as soon as this view is trimmed too, and grant
+ * the key a second time. */
 static void
-apply_claim (struct mt_held *held,
-             struct mt_held_claim *claim,
+apply_claim (struct mt_claim_table *table,
+             struct mt_claim_entry *claim,
              const struct mt_record *record,
              int64_t wall_ms,
              uint64_t seq)
 {
   if (claim != NULL)
-    g_hash_table_remove (held->claims, claim);
-  claim = insert (held, record);
-  claim->silent_ms = wall_ms + record->extra;
+    g_hash_table_remove (table->claims, claim);
+  claim = insert (table, record);
+  claim->lost_after_ms = wall_ms + record->extra;
   claim->seq = seq;
 }
 
 static void
-apply_release (struct mt_held *held,
-               struct mt_held_claim *claim,
+apply_release (struct mt_claim_table *table,
+               struct mt_claim_entry *claim,
                const struct mt_record *record,
                uint64_t seq)
 {
@@ -136,52 +136,55 @@
 
   if (claim != NULL && mt_id_equal (claim->attempt, record->attempt))
     {
-      g_hash_table_remove (held->claims, claim);
+      g_hash_table_remove (table->claims, claim);
       return;
     }
   released = g_new (struct released, 1);
   released->attempt[0] = record->attempt[0];
   released->attempt[1] = record->attempt[1];
   released->seq = seq;
-  g_hash_table_add (held->released, released);
+  g_hash_table_add (table->released, released);
 }
 
 static void
-apply_record (struct mt_held *held, const struct mt_record *record, int64_t wall_ms, uint64_t seq)
+apply_record (struct mt_claim_table *table,
+              const struct mt_record *record,
+              int64_t wall_ms,
+              uint64_t seq)
 {
-  struct mt_held_claim *claim = find (held, record->key);
+  struct mt_claim_entry *claim = find (table, record->key);
 
-  /* An end counts for the attempt that holds the key only: a release that arrives after the key
-   * was freed and claimed again must not free it under the new holder. */
+  /* An end applies only to the attempt that holds the key: a release that arrives after the key was
+   * freed and claimed again must not remove the new holder's claim. */
   if (record->kind == MT_RECORD_CLAIM)
-    apply_claim (held, claim, record, wall_ms, seq);
+    apply_claim (table, claim, record, wall_ms, seq);
   else if (record->kind == MT_RECORD_RELEASE)
-    apply_release (held, claim, record, seq);
+    apply_release (table, claim, record, seq);
   else if (claim == NULL || mt_id_equal (claim->attempt, record->attempt))
-    apply_end (held, claim, record, seq);
+    apply_end (table, claim, record, seq);
 }
 
 void
-mt_held_apply (struct mt_held *held, const struct mt_batch *batch, uint64_t seq)
+mt_claim_table_apply (struct mt_claim_table *table, const struct mt_batch *batch, uint64_t seq)
 {
   for (guint i = 0; i < batch->records->len; i++)
-    apply_record (held, &g_array_index (batch->records, struct mt_record, i), batch->wall_ms, seq);
+    apply_record (table, &g_array_index (batch->records, struct mt_record, i), batch->wall_ms, seq);
 }
 
-const struct mt_held_claim *
-mt_held_find (const struct mt_held *held, const uint64_t key[2])
+const struct mt_claim_entry *
+mt_claim_table_find (const struct mt_claim_table *table, const uint64_t key[2])
 {
-  return find (held, key);
+  return find (table, key);
 }
 
 bool
-mt_held_is_released (const struct mt_held *held, const uint64_t attempt[2])
+mt_claim_table_is_released (const struct mt_claim_table *table, const uint64_t attempt[2])
 {
-  return g_hash_table_contains (held->released, attempt);
+  return g_hash_table_contains (table->released, attempt);
 }
 
 unsigned
-mt_held_count (const struct mt_held *held)
+mt_claim_table_count (const struct mt_claim_table *table)
 {
-  return g_hash_table_size (held->claims);
+  return g_hash_table_size (table->claims);
 }
--- a/core/once/held.h
+++ b/core/once/held.h
@@ -1,41 +1,43 @@
-/* The claims that the log holds, as far as it was read: key -> who holds it. */
-#ifndef MT_HELD_H
-#define MT_HELD_H
+/* The claims in the part of the log that was read: maps each key to its holder. */
+#ifndef MT_CLAIM_TABLE_H
+#define MT_CLAIM_TABLE_H
 
 #include "medlartrack/batch.h"
 
-enum mt_held_state
+enum mt_claim_state
 {
-  MT_HELD_CLAIMED,
-  MT_HELD_DONE,
-  MT_HELD_LOST,
+  MT_CLAIM_STATE_ACTIVE,
+  MT_CLAIM_STATE_DONE,
+  MT_CLAIM_STATE_LOST,
 };
 
-struct mt_held_claim
+struct mt_claim_entry
 {
   uint64_t key[2];
   uint64_t attempt[2];
-  uint64_t seq;      /* of the batch with its last record */
-  int64_t silent_ms; /* wall time after which a claim without an end counts as lost */
+  uint64_t seq;          /* batch of its last record */
+  int64_t lost_after_ms; /* wall time after which a claim without an end counts as lost */
   uint16_t status;
-  uint8_t state; /* enum mt_held_state */
+  uint8_t state; /* enum mt_claim_state */
 };
 
-struct mt_held;
+struct mt_claim_table;
 
-struct mt_held *mt_held_create (void);
-void mt_held_destroy (struct mt_held *held);
-void mt_held_forget_all (struct mt_held *held);
-/* Forgets claims whose last record is in a batch below seq. */
-void mt_held_forget_below (struct mt_held *held, uint64_t seq);
-/* Applies one batch; batches come in the order of the log. */
-void mt_held_apply (struct mt_held *held, const struct mt_batch *batch, uint64_t seq);
-/* NULL where the key is free. */
-const struct mt_held_claim *mt_held_find (const struct mt_held *held, const uint64_t key[2]);
-/* Whether the attempt was released before any claim of it was seen: a claim that is still on its
- * way must not be written after its release, where it would hold the key for nobody. */
-bool mt_held_is_released (const struct mt_held *held, const uint64_t attempt[2]);
-unsigned mt_held_count (const struct mt_held *held);
+struct mt_claim_table *mt_claim_table_create (void);
+void mt_claim_table_destroy (struct mt_claim_table *table);
+void mt_claim_table_clear (struct mt_claim_table *table);
+/* Removes claims whose last record is in a batch below seq. */
+void mt_claim_table_remove_below (struct mt_claim_table *table, uint64_t seq);
+/* Applies one batch; called in the order of the log. */
+void
+mt_claim_table_apply (struct mt_claim_table *table, const struct mt_batch *batch, uint64_t seq);
+/* Returns NULL if the key is free. */
+const struct mt_claim_entry *mt_claim_table_find (const struct mt_claim_table *table,
+                                                  const uint64_t key[2]);
+/* Whether the attempt was released before its claim was seen. A claim that is still pending must
+ * not be written after its release: it would block the key with no holder. */
+bool mt_claim_table_is_released (const struct mt_claim_table *table, const uint64_t attempt[2]);
+unsigned mt_claim_table_count (const struct mt_claim_table *table);
 
 /* For hash tables keyed by a 128-bit id. */
 guint mt_id_hash (gconstpointer id);
--- a/core/once/once.c
+++ b/core/once/once.c
@@ -2,26 +2,26 @@
 
 #include <string.h>
 
-#define RETRY_US     (100 * MT_MS)
-#define END_DELAY_US (500 * MT_MS) /* an end waits so long for a claim's batch to ride in */
-#define REFRESH_US   (MT_ONCE_MAX_VIEW_AGE_US / 2) /* leaves the other half for the write */
+#define RETRY_DELAY_US   (100 * MT_MS)
+#define MAX_END_DELAY_US (500 * MT_MS) /* how long an end waits for claims to join its batch */
+#define REFRESH_AGE_US   (MT_ONCE_MAX_VIEW_AGE_US / 2) /* leaves the other half for the write */
 
 void
-mt_once_settle (struct mt_once *once, struct mt_once_request *ask, enum mt_once_result result)
+mt_once_settle (struct mt_once *once, struct mt_once_request *request, enum mt_once_result result)
 {
-  ask->result = result;
+  request->result = result;
   if (once->options.settled != NULL)
-    once->options.settled (once->options.ctx, ask);
+    once->options.settled (once->options.ctx, request);
 }
 
 void
 mt_once_retry_later (struct mt_once *once)
 {
-  once->retry_us = mt_clock_now (once->options.clock) + RETRY_US;
+  once->retry_us = mt_clock_now (once->options.clock) + RETRY_DELAY_US;
 }
 
 static void
-name_seq (const struct mt_once *once, uint64_t seq, char *key)
+format_batch_key (const struct mt_once *once, uint64_t seq, char *key)
 {
   g_snprintf (key, MT_ONCE_KEY_BYTES, "%s%0*" G_GUINT64_FORMAT, once->prefix, MT_ONCE_SEQ_DIGITS,
               seq);
@@ -38,14 +38,14 @@
       g_strlcpy (call->key, once->prefix, sizeof call->key);
       break;
     case MT_ONCE_CALL_PROBE:
-      name_seq (once, once->next_seq, call->key);
+      format_batch_key (once, once->next_seq, call->key);
       break;
     case MT_ONCE_CALL_WRITE:
-      call->data = mt_batch_encode (&once->flight.batch, &call->len);
-      name_seq (once, once->flight.seq, call->key);
+      call->data = mt_batch_encode (&once->in_flight.batch, &call->len);
+      format_batch_key (once, once->in_flight.seq, call->key);
       break;
     case MT_ONCE_CALL_READ_BATCH:
-      name_seq (once, once->flight.seq, call->key);
+      format_batch_key (once, once->in_flight.seq, call->key);
       break;
     case MT_ONCE_CALL_READ_FLOOR:
     case MT_ONCE_CALL_RAISE_FLOOR:
@@ -71,17 +71,17 @@
 }
 
 static bool
-next_of_flight (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
+next_call_in_flight (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
 {
-  if (once->flight.check)
+  if (once->in_flight.read_back)
     return mt_once_start_call (once, call, MT_ONCE_CALL_READ_BATCH);
   return mt_once_take_token (once, wake_us) && mt_once_start_call (once, call, MT_ONCE_CALL_WRITE);
 }
 
 static bool
-ends_are_due (struct mt_once *once, int64_t *wake_us)
+is_ends_write_due (struct mt_once *once, int64_t *wake_us)
 {
-  int64_t due = once->ends_us + END_DELAY_US;
+  int64_t due = once->ends_since_us + MAX_END_DELAY_US;
 
   if (once->ends->len == 0)
     return false;
@@ -94,16 +94,17 @@
 static bool
 next_write (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us)
 {
-  struct flight flight = { 0 };
+  struct in_flight in_flight = { 0 };
 
-  mt_once_plan (once, &flight);
-  if ((flight.asks->len > 0 || ends_are_due (once, wake_us)) && mt_once_take_token (once, wake_us))
+  mt_once_plan_batch (once, &in_flight);
+  if ((in_flight.requests->len > 0 || is_ends_write_due (once, wake_us))
+      && mt_once_take_token (once, wake_us))
     {
-      mt_once_launch (once, &flight);
+      mt_once_start_write (once, &in_flight);
       return mt_once_start_call (once, call, MT_ONCE_CALL_WRITE);
     }
-  mt_batch_clear (&flight.batch);
-  g_ptr_array_unref (flight.asks);
+  mt_batch_clear (&in_flight.batch);
+  g_ptr_array_unref (in_flight.requests);
   return false;
 }
 
@@ -117,19 +118,19 @@
         *wake_us = once->retry_us;
       return false;
     }
-  if (once->flight.active)
-    return next_of_flight (once, call, wake_us);
-  if (g_queue_is_empty (&once->asks) && !ends_are_due (once, wake_us))
+  if (once->in_flight.active)
+    return next_call_in_flight (once, call, wake_us);
+  if (g_queue_is_empty (&once->requests) && !is_ends_write_due (once, wake_us))
     return mt_once_next_trim (once, call, wake_us);
   if (!once->loaded)
     return mt_once_start_call (once, call, MT_ONCE_CALL_LIST);
   if (once->probed_us != 0)
     return mt_once_start_call (once, call, MT_ONCE_CALL_READ_FLOOR);
-  if (!mt_once_is_fresh (once, once->fresh_us, REFRESH_US))
+  if (!mt_once_is_recent (once, once->view_confirmed_us, REFRESH_AGE_US))
     return mt_once_start_call (once, call, MT_ONCE_CALL_PROBE);
   if (next_write (once, call, wake_us))
     return true;
-  if (once->look)
+  if (once->needs_refresh)
     return mt_once_start_call (once, call, MT_ONCE_CALL_PROBE);
   return mt_once_next_trim (once, call, wake_us);
 }
@@ -165,25 +166,25 @@
   switch (call->kind)
     {
     case MT_ONCE_CALL_LIST:
-      mt_once_absorb_list (once, call);
+      mt_once_handle_list (once, call);
       break;
     case MT_ONCE_CALL_PROBE:
-      mt_once_absorb_probe (once, call);
+      mt_once_handle_probe (once, call);
       break;
     case MT_ONCE_CALL_READ_FLOOR:
-      mt_once_absorb_floor (once, call);
+      mt_once_handle_floor (once, call);
       break;
     case MT_ONCE_CALL_WRITE:
-      mt_once_absorb_write (once, call);
+      mt_once_handle_write (once, call);
       break;
     case MT_ONCE_CALL_READ_BATCH:
-      mt_once_absorb_check (once, call);
+      mt_once_handle_read_batch (once, call);
       break;
     case MT_ONCE_CALL_RAISE_FLOOR:
-      mt_once_absorb_raise (once, call);
+      mt_once_handle_raise_floor (once, call);
       break;
     case MT_ONCE_CALL_TRIM:
-      mt_once_absorb_trim (once, call);
+      mt_once_handle_trim (once, call);
       break;
     }
   g_free (call->data);
@@ -192,41 +193,41 @@
 }
 
 void
-mt_once_request (struct mt_once *once, struct mt_once_request *ask)
+mt_once_request (struct mt_once *once, struct mt_once_request *request)
 {
-  ask->result = MT_ONCE_PENDING;
-  ask->status = 0;
-  ask->requested_us = mt_clock_now (once->options.clock);
-  g_queue_push_tail (&once->asks, ask);
+  request->result = MT_ONCE_PENDING;
+  request->status = 0;
+  request->requested_us = mt_clock_now (once->options.clock);
+  g_queue_push_tail (&once->requests, request);
 }
 
 void
-mt_once_cancel (struct mt_once *once, struct mt_once_request *ask)
+mt_once_cancel (struct mt_once *once, struct mt_once_request *request)
 {
   guint i;
 
-  if (ask->result != MT_ONCE_PENDING)
+  if (request->result != MT_ONCE_PENDING)
     return;
-  ask->result = MT_ONCE_UNAVAILABLE;
-  if (g_queue_remove (&once->asks, ask) || !once->flight.active)
+  request->result = MT_ONCE_UNAVAILABLE;
+  if (g_queue_remove (&once->requests, request) || !once->in_flight.active)
     return;
-  if (g_ptr_array_find (once->flight.asks, ask, &i))
-    once->flight.asks->pdata[i] = NULL;
+  if (g_ptr_array_find (once->in_flight.requests, request, &i))
+    once->in_flight.requests->pdata[i] = NULL;
 }
 
 void
 mt_once_refuse_all (struct mt_once *once)
 {
-  struct mt_once_request *ask;
+  struct mt_once_request *request;
 
-  while ((ask = g_queue_pop_head (&once->asks)) != NULL)
-    mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
-  for (guint i = 0; once->flight.active && i < once->flight.asks->len; i++)
+  while ((request = g_queue_pop_head (&once->requests)) != NULL)
+    mt_once_settle (once, request, MT_ONCE_UNAVAILABLE);
+  for (guint i = 0; once->in_flight.active && i < once->in_flight.requests->len; i++)
     {
-      ask = once->flight.asks->pdata[i];
-      once->flight.asks->pdata[i] = NULL;
-      if (ask != NULL)
-        mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
+      request = once->in_flight.requests->pdata[i];
+      once->in_flight.requests->pdata[i] = NULL;
+      if (request != NULL)
+        mt_once_settle (once, request, MT_ONCE_UNAVAILABLE);
     }
 }
 
@@ -253,32 +254,32 @@
 mt_once_add_end (struct mt_once *once, const struct mt_record *end)
 {
   if (once->ends->len == 0)
-    once->ends_us = mt_clock_now (once->options.clock);
+    once->ends_since_us = mt_clock_now (once->options.clock);
   g_array_append_vals (once->ends, end, 1);
 }
 
 void
-mt_once_set_free_capacity (struct mt_once *once, unsigned room)
+mt_once_set_free_capacity (struct mt_once *once, unsigned free_capacity)
 {
-  once->room = room;
+  once->free_capacity = free_capacity;
 }
 
 unsigned
 mt_once_claim_count (const struct mt_once *once)
 {
-  return mt_held_count (once->held);
+  return mt_claim_table_count (once->claims);
 }
 
 bool
 mt_once_has_work (const struct mt_once *once)
 {
-  return once->flight.active || once->ends->len > 0 || once->asks.length > 0;
+  return once->in_flight.active || once->ends->len > 0 || once->requests.length > 0;
 }
 
 const char *
 mt_once_read_error (const struct mt_once *once)
 {
-  return once->fault;
+  return once->read_error;
 }
 
 struct mt_once *
@@ -287,10 +288,10 @@
   struct mt_once *once = g_new0 (struct mt_once, 1);
 
   once->options = *options;
-  once->room = UINT_MAX;
+  once->free_capacity = UINT_MAX;
   g_snprintf (once->prefix, sizeof once->prefix, MT_ONCE_PREFIX "%03u/", options->shard);
   once->ends = g_array_new (FALSE, FALSE, sizeof (struct mt_record));
-  once->held = mt_held_create ();
+  once->claims = mt_claim_table_create ();
   return once;
 }
 
@@ -299,12 +300,12 @@
 {
   if (once == NULL)
     return;
-  mt_once_unload (once);
-  if (once->flight.active)
-    mt_once_clear_flight (once);
-  g_queue_clear (&once->asks);
+  mt_once_discard_view (once);
+  if (once->in_flight.active)
+    mt_once_clear_in_flight (once);
+  g_queue_clear (&once->requests);
   g_array_unref (once->ends);
-  mt_held_destroy (once->held);
-  g_free (once->fault);
+  mt_claim_table_destroy (once->claims);
+  g_free (once->read_error);
   g_free (once);
 }
--- a/core/once/once_flight.c
+++ b/core/once/once_flight.c
@@ -2,23 +2,25 @@
 
 #include <string.h>
 
-#define ANSWER_FRESH_US (1 * MT_SECOND) /* bounds the reads that repeated requests cause */
+#define MAX_ANSWER_VIEW_AGE_US (1 * MT_SECOND) /* bounds the reads that repeated requests cause */
 
 static void
-settle_taken (struct mt_once *once, struct mt_once_request *ask, const struct mt_held_claim *claim)
+settle_claimed (struct mt_once *once,
+                struct mt_once_request *request,
+                const struct mt_claim_entry *claim)
 {
-  ask->status = claim->status;
-  if (claim->state == MT_HELD_DONE)
-    mt_once_settle (once, ask, MT_ONCE_DONE);
-  else if (claim->state == MT_HELD_LOST
-           || mt_clock_wall (once->options.clock) / MT_MS > claim->silent_ms)
-    mt_once_settle (once, ask, MT_ONCE_LOST);
+  request->status = claim->status;
+  if (claim->state == MT_CLAIM_STATE_DONE)
+    mt_once_settle (once, request, MT_ONCE_DONE);
+  else if (claim->state == MT_CLAIM_STATE_LOST
+           || mt_clock_wall (once->options.clock) / MT_MS > claim->lost_after_ms)
+    mt_once_settle (once, request, MT_ONCE_LOST);
   else
-    mt_once_settle (once, ask, MT_ONCE_RUNNING);
+    mt_once_settle (once, request, MT_ONCE_RUNNING);
 }
 
 static void
-release (struct mt_once *once, const struct mt_record *claim)
+queue_release (struct mt_once *once, const struct mt_record *claim)
 {
   struct mt_record end = *claim;
 
@@ -28,280 +30,282 @@
 }
 
 void
-mt_once_clear_flight (struct mt_once *once)
+mt_once_clear_in_flight (struct mt_once *once)
 {
-  mt_batch_clear (&once->flight.batch);
-  g_clear_pointer (&once->flight.asks, g_ptr_array_unref);
-  once->flight = (struct flight){ 0 };
+  mt_batch_clear (&once->in_flight.batch);
+  g_clear_pointer (&once->in_flight.requests, g_ptr_array_unref);
+  once->in_flight = (struct in_flight){ 0 };
 }
 
 static const struct mt_record *
-flight_record (const struct flight *flight, guint i)
+get_record_in_flight (const struct in_flight *in_flight, guint i)
 {
-  return &g_array_index (flight->batch.records, struct mt_record, i);
+  return &g_array_index (in_flight->batch.records, struct mt_record, i);
 }
 
 static void
-return_ends (struct mt_once *once)
+requeue_ends (struct mt_once *once)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
-  if (flight->n_ends == 0)
+  if (in_flight->n_ends == 0)
     return;
   if (once->ends->len == 0)
-    once->ends_us = mt_clock_now (once->options.clock);
-  g_array_prepend_vals (once->ends, flight->batch.records->data, flight->n_ends);
+    once->ends_since_us = mt_clock_now (once->options.clock);
+  g_array_prepend_vals (once->ends, in_flight->batch.records->data, in_flight->n_ends);
 }
 
-/* The batch did not take effect and never will: its asks and ends wait for the next one. */
+/* The batch was not committed and never will be: its requests and ends return to their queues. */
 static void
-dissolve_flight (struct mt_once *once)
+requeue_in_flight (struct mt_once *once)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
-  return_ends (once);
-  for (guint i = flight->asks->len; i > 0; i--)
-    if (flight->asks->pdata[i - 1] != NULL)
-      g_queue_push_head (&once->asks, flight->asks->pdata[i - 1]);
-  mt_once_clear_flight (once);
+  requeue_ends (once);
+  for (guint i = in_flight->requests->len; i > 0; i--)
+    if (in_flight->requests->pdata[i - 1] != NULL)
+      g_queue_push_head (&once->requests, in_flight->requests->pdata[i - 1]);
+  mt_once_clear_in_flight (once);
 }
 
-/* The claims are in the log. A claim whose asker gave up was refused as not run: it is released, so
- * that the caller can ask again. */
+/* The claims are committed. A claim whose request was cancelled was refused as not run: it is
+ * released, so that the caller can retry. */
 static void
 grant_claims (struct mt_once *once)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
-  for (guint i = 0; i < flight->asks->len; i++)
+  for (guint i = 0; i < in_flight->requests->len; i++)
     {
-      struct mt_once_request *ask = flight->asks->pdata[i];
+      struct mt_once_request *request = in_flight->requests->pdata[i];
 
-      if (ask != NULL)
-        mt_once_settle (once, ask, MT_ONCE_GRANTED);
+      if (request != NULL)
+        mt_once_settle (once, request, MT_ONCE_GRANTED);
       else
-        release (once, flight_record (flight, flight->n_ends + i));
+        queue_release (once, get_record_in_flight (in_flight, in_flight->n_ends + i));
     }
 }
 
 /* The batch was written, but so long after its number was known to be free that the log may have
- * grown past it and been trimmed meanwhile: a paused writer would create a trimmed number again,
- * which no rival ever reads. Nothing of it counts; the log is read anew, and claims are released in
- * case that the batch did land in the log. */
+ * grown past that number and been trimmed meanwhile: a paused writer would create a trimmed number
+ * again, which no other writer ever reads. The batch does not count: the log is read again, and the
+ * claims are released in case the batch is in the log after all. */
 static void
-refuse_claims (struct mt_once *once)
+discard_claims (struct mt_once *once)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
-  return_ends (once);
-  for (guint i = 0; i < flight->asks->len; i++)
+  requeue_ends (once);
+  for (guint i = 0; i < in_flight->requests->len; i++)
     {
-      struct mt_once_request *ask = flight->asks->pdata[i];
+      struct mt_once_request *request = in_flight->requests->pdata[i];
 
-      if (ask != NULL)
-        mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
-      release (once, flight_record (flight, flight->n_ends + i));
+      if (request != NULL)
+        mt_once_settle (once, request, MT_ONCE_UNAVAILABLE);
+      queue_release (once, get_record_in_flight (in_flight, in_flight->n_ends + i));
     }
-  mt_once_unload (once);
+  mt_once_discard_view (once);
 }
 
 static void
-land_flight (struct mt_once *once)
+complete_in_flight (struct mt_once *once)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
-  if (mt_once_is_fresh (once, flight->fresh_us, MT_ONCE_MAX_VIEW_AGE_US))
+  if (mt_once_is_recent (once, in_flight->seq_free_us, MT_ONCE_MAX_VIEW_AGE_US))
     {
-      mt_once_apply (once, &flight->batch, flight->seq);
-      /* Nobody creates a number without having seen the one before: when the first write began, the
-       * number after it did not exist. */
-      once->fresh_us = MAX (once->fresh_us, flight->begun_us);
+      mt_once_apply_batch (once, &in_flight->batch, in_flight->seq);
+      /* A writer creates a number only after it has seen the previous one: when the first write
+       * began, the number after this batch did not exist. */
+      once->view_confirmed_us = MAX (once->view_confirmed_us, in_flight->started_us);
       grant_claims (once);
     }
   else
-    refuse_claims (once);
-  mt_once_clear_flight (once);
+    discard_claims (once);
+  mt_once_clear_in_flight (once);
 }
 
-/* What the batch under construction says of a key, ends before claims. */
+/* The claim of a key in the batch under construction, or else its release. */
 static const struct mt_record *
-find_in_batch (GHashTable *overlay, const uint64_t key[2])
+find_in_batch (GHashTable *records_by_key, const uint64_t key[2])
 {
-  return g_hash_table_lookup (overlay, key);
+  return g_hash_table_lookup (records_by_key, key);
 }
 
 enum verdict
 {
   VERDICT_CLAIM,
-  VERDICT_WAIT, /* another ask of this batch claims the key */
+  VERDICT_WAIT, /* another request in this batch claims the key */
   VERDICT_TAKEN,
-  VERDICT_LATE, /* nobody waits for it any more */
-  VERDICT_LOOK, /* taken when last looked, and perhaps released since */
+  VERDICT_EXPIRED,      /* released already, or past its deadline */
+  VERDICT_REFRESH_VIEW, /* claimed in the view, but perhaps released since */
 };
 
-/* Whether the view tells how things stood after the ask, or nearly: "running" and "lost" are not
- * told from an old view, since the holder may have released the key long ago. */
+/* Whether the view is more recent than the request, or nearly so. RUNNING and LOST are not reported
+ * from an older view, since the holder may have released the key long ago. */
 static bool
-is_answerable (const struct mt_once *once, const struct mt_once_request *ask)
+is_answerable (const struct mt_once *once, const struct mt_once_request *request)
 {
-  return once->fresh_us >= ask->requested_us
-         || mt_once_is_fresh (once, once->fresh_us, ANSWER_FRESH_US);
+  return once->view_confirmed_us >= request->requested_us
+         || mt_once_is_recent (once, once->view_confirmed_us, MAX_ANSWER_VIEW_AGE_US);
 }
 
 static enum verdict
-judge (struct mt_once *once, GHashTable *overlay, const struct mt_once_request *ask)
+judge_request (struct mt_once *once,
+               GHashTable *records_by_key,
+               const struct mt_once_request *request)
 {
-  const struct mt_held_claim *claim = mt_held_find (once->held, ask->key);
-  const struct mt_record *record = find_in_batch (overlay, ask->key);
+  const struct mt_claim_entry *claim = mt_claim_table_find (once->claims, request->key);
+  const struct mt_record *record = find_in_batch (records_by_key, request->key);
 
-  if (mt_held_is_released (once->held, ask->attempt)
-      || (ask->claim_deadline_us != 0
-          && ask->claim_deadline_us < mt_clock_now (once->options.clock)))
-    return VERDICT_LATE;
+  if (mt_claim_table_is_released (once->claims, request->attempt)
+      || (request->claim_deadline_us != 0
+          && request->claim_deadline_us < mt_clock_now (once->options.clock)))
+    return VERDICT_EXPIRED;
   if (record != NULL && record->kind == MT_RECORD_CLAIM)
     return VERDICT_WAIT;
   if (claim == NULL)
     return VERDICT_CLAIM;
   if (record != NULL && mt_id_equal (record->attempt, claim->attempt))
     return VERDICT_CLAIM;
-  if (claim->state == MT_HELD_CLAIMED && !is_answerable (once, ask))
-    return VERDICT_LOOK;
+  if (claim->state == MT_CLAIM_STATE_ACTIVE && !is_answerable (once, request))
+    return VERDICT_REFRESH_VIEW;
   return VERDICT_TAKEN;
 }
 
 static void
-plan_ends (struct mt_once *once, struct flight *flight, GHashTable *overlay)
+add_ends (struct mt_once *once, struct in_flight *in_flight, GHashTable *records_by_key)
 {
-  flight->n_ends = MIN (once->ends->len, MT_BATCH_MAX_RECORDS / 2);
-  g_array_append_vals (flight->batch.records, once->ends->data, flight->n_ends);
-  for (guint i = 0; i < flight->n_ends; i++)
+  in_flight->n_ends = MIN (once->ends->len, MT_BATCH_MAX_RECORDS / 2);
+  g_array_append_vals (in_flight->batch.records, once->ends->data, in_flight->n_ends);
+  for (guint i = 0; i < in_flight->n_ends; i++)
     {
       struct mt_record *end = &g_array_index (once->ends, struct mt_record, i);
 
       if (end->kind == MT_RECORD_RELEASE)
-        g_hash_table_replace (overlay, end->key, end);
+        g_hash_table_replace (records_by_key, end->key, end);
     }
 }
 
 static struct mt_record *
-make_claim (const struct mt_once_request *ask)
+make_claim (const struct mt_once_request *request)
 {
   struct mt_record *record = g_new0 (struct mt_record, 1);
 
-  memcpy (record->key, ask->key, sizeof record->key);
-  memcpy (record->attempt, ask->attempt, sizeof record->attempt);
+  memcpy (record->key, request->key, sizeof record->key);
+  memcpy (record->attempt, request->attempt, sizeof record->attempt);
   record->kind = MT_RECORD_CLAIM;
-  record->extra = ask->holder_timeout_ms;
+  record->extra = request->holder_timeout_ms;
   return record;
 }
 
-/* Settles what the view can settle, and collects the rest. */
+/* Settles the requests that the view can answer and adds a claim for each of the others. */
 static void
-plan_claims (struct mt_once *once, struct flight *flight, GHashTable *overlay)
+add_claims (struct mt_once *once, struct in_flight *in_flight, GHashTable *records_by_key)
 {
-  g_autoptr (GPtrArray) made = g_ptr_array_new_with_free_func (g_free);
-  GList *at = once->asks.head;
+  g_autoptr (GPtrArray) claims = g_ptr_array_new_with_free_func (g_free);
+  GList *at = once->requests.head;
 
-  once->look = false;
-  while (at != NULL && flight->batch.records->len < MT_BATCH_MAX_RECORDS)
+  once->needs_refresh = false;
+  while (at != NULL && in_flight->batch.records->len < MT_BATCH_MAX_RECORDS)
     {
       GList *link = at;
-      struct mt_once_request *ask = link->data;
-      enum verdict verdict = judge (once, overlay, ask);
+      struct mt_once_request *request = link->data;
+      enum verdict verdict = judge_request (once, records_by_key, request);
       struct mt_record *record;
 
       at = at->next;
       if (verdict == VERDICT_TAKEN)
         {
-          g_queue_delete_link (&once->asks, link);
-          settle_taken (once, ask, mt_held_find (once->held, ask->key));
+          g_queue_delete_link (&once->requests, link);
+          settle_claimed (once, request, mt_claim_table_find (once->claims, request->key));
         }
-      else if (verdict == VERDICT_LOOK)
-        once->look = true;
-      else if (verdict == VERDICT_LATE
-               || (verdict == VERDICT_CLAIM && flight->asks->len >= once->room))
+      else if (verdict == VERDICT_REFRESH_VIEW)
+        once->needs_refresh = true;
+      else if (verdict == VERDICT_EXPIRED
+               || (verdict == VERDICT_CLAIM && in_flight->requests->len >= once->free_capacity))
         {
-          g_queue_delete_link (&once->asks, link);
-          mt_once_settle (once, ask, MT_ONCE_UNAVAILABLE);
+          g_queue_delete_link (&once->requests, link);
+          mt_once_settle (once, request, MT_ONCE_UNAVAILABLE);
         }
       else if (verdict == VERDICT_CLAIM)
         {
-          record = make_claim (ask);
-          g_ptr_array_add (made, record);
-          g_hash_table_replace (overlay, record->key, record);
-          g_array_append_vals (flight->batch.records, record, 1);
-          g_ptr_array_add (flight->asks, ask);
+          record = make_claim (request);
+          g_ptr_array_add (claims, record);
+          g_hash_table_replace (records_by_key, record->key, record);
+          g_array_append_vals (in_flight->batch.records, record, 1);
+          g_ptr_array_add (in_flight->requests, request);
         }
     }
-  g_hash_table_remove_all (overlay);
+  g_hash_table_remove_all (records_by_key);
 }
 
 void
-mt_once_plan (struct mt_once *once, struct flight *flight)
+mt_once_plan_batch (struct mt_once *once, struct in_flight *in_flight)
 {
-  g_autoptr (GHashTable) overlay = g_hash_table_new (mt_id_hash, mt_id_equal);
+  g_autoptr (GHashTable) records_by_key = g_hash_table_new (mt_id_hash, mt_id_equal);
 
-  mt_batch_init (&flight->batch);
-  flight->asks = g_ptr_array_new ();
-  plan_ends (once, flight, overlay);
-  plan_claims (once, flight, overlay);
+  mt_batch_init (&in_flight->batch);
+  in_flight->requests = g_ptr_array_new ();
+  add_ends (once, in_flight, records_by_key);
+  add_claims (once, in_flight, records_by_key);
 }
 
-/* The planned batch becomes the flight: what it holds leaves the queues. */
+/* Makes the planned batch the one in flight: its requests and ends leave the queues. */
 void
-mt_once_launch (struct mt_once *once, struct flight *flight)
+mt_once_start_write (struct mt_once *once, struct in_flight *in_flight)
 {
-  g_array_remove_range (once->ends, 0, flight->n_ends);
+  g_array_remove_range (once->ends, 0, in_flight->n_ends);
   if (once->ends->len > 0)
-    once->ends_us = mt_clock_now (once->options.clock);
-  for (guint i = 0; i < flight->asks->len; i++)
-    g_queue_remove (&once->asks, flight->asks->pdata[i]);
-  flight->active = true;
-  flight->seq = once->next_seq;
-  flight->fresh_us = once->fresh_us;
-  flight->begun_us = mt_clock_now (once->options.clock);
-  flight->batch.id[0] = once->options.writer;
-  flight->batch.id[1] = ((uint64_t) once->options.shard << 48) | ++once->next_batch;
-  flight->batch.wall_ms = mt_clock_wall (once->options.clock) / MT_MS;
-  once->flight = *flight;
+    once->ends_since_us = mt_clock_now (once->options.clock);
+  for (guint i = 0; i < in_flight->requests->len; i++)
+    g_queue_remove (&once->requests, in_flight->requests->pdata[i]);
+  in_flight->active = true;
+  in_flight->seq = once->next_seq;
+  in_flight->seq_free_us = once->view_confirmed_us;
+  in_flight->started_us = mt_clock_now (once->options.clock);
+  in_flight->batch.id[0] = once->options.writer;
+  in_flight->batch.id[1] = ((uint64_t) once->options.shard << 48) | ++once->last_batch_number;
+  in_flight->batch.wall_ms = mt_clock_wall (once->options.clock) / MT_MS;
+  once->in_flight = *in_flight;
 }
 
 void
-mt_once_absorb_write (struct mt_once *once, const struct mt_once_call *call)
+mt_once_handle_write (struct mt_once *once, const struct mt_once_call *call)
 {
-  struct flight *flight = &once->flight;
+  struct in_flight *in_flight = &once->in_flight;
 
   switch (call->put)
     {
     case MT_STORE_DONE:
-      land_flight (once);
+      complete_in_flight (once);
       return;
     case MT_STORE_CONFLICT:
-      flight->check = true;
+      in_flight->read_back = true;
       return;
     case MT_STORE_UNKNOWN:
-      flight->in_doubt = true;
-      flight->check = true;
+      in_flight->unconfirmed = true;
+      in_flight->read_back = true;
       mt_once_retry_later (once);
       return;
     case MT_STORE_FAILED:
       break;
     }
   mt_once_retry_later (once);
-  if (flight->in_doubt)
-    flight->check = true;
+  if (in_flight->unconfirmed)
+    in_flight->read_back = true;
   else
-    dissolve_flight (once);
+    requeue_in_flight (once);
 }
 
-/* An answer to a write was lost, or the write lost its race: the batch's id tells whose it is.
- * Absence tells nothing of a write in doubt, which may still be on its way: the same batch is
- * written again, so that whichever arrives first counts and the other does nothing. */
+/* The response to a write was lost, or another writer won the race: the id in the stored batch
+ * shows who wrote it. If no batch is stored, an unconfirmed write may still arrive: the same batch
+ * is written again, so that whichever write arrives first counts and the other has no effect. */
 void
-mt_once_absorb_check (struct mt_once *once, const struct mt_once_call *call)
+mt_once_handle_read_batch (struct mt_once *once, const struct mt_once_call *call)
 {
-  struct flight *flight = &once->flight;
-  uint64_t seq = flight->seq;
+  struct in_flight *in_flight = &once->in_flight;
+  uint64_t seq = in_flight->seq;
   struct mt_batch batch;
   bool ours;
 
@@ -310,18 +314,18 @@
       mt_once_retry_later (once);
       return;
     }
-  flight->check = false;
+  in_flight->read_back = false;
   if (!call->value.found)
     return;
   mt_batch_init (&batch);
   ours = mt_batch_decode ((struct mt_str){ call->value.data, call->value.len }, &batch, NULL)
-         && mt_id_equal (batch.id, flight->batch.id);
+         && mt_id_equal (batch.id, in_flight->batch.id);
   mt_batch_clear (&batch);
   if (ours)
     {
-      land_flight (once);
+      complete_in_flight (once);
       return;
     }
-  dissolve_flight (once);
-  mt_once_learn (once, &call->value, seq);
+  requeue_in_flight (once);
+  mt_once_apply_value (once, &call->value, seq);
 }
--- a/core/once/once_internal.h
+++ b/core/once/once_internal.h
@@ -1,5 +1,5 @@
-/* What the parts of a shard's log share. once.c decides which call comes next, once_view.c reads
- * the log, once_flight.c writes to it, once_trim.c removes what is past keeping. */
+/* Internals shared by the files of the claim log. once.c decides which call comes next, once_view.c
+ * reads the log, once_flight.c writes to it, once_trim.c removes batches past their retention. */
 #ifndef MT_ONCE_INTERNAL_H
 #define MT_ONCE_INTERNAL_H
 
@@ -7,92 +7,94 @@
 #include "medlartrack/once.h"
 
 #define MT_ONCE_SEQ_DIGITS   12
-#define MT_ONCE_BLOCK        100 /* batches trimmed by one call: two digits fewer in the prefix */
+#define MT_ONCE_BLOCK        100 /* batches trimmed by one call: two digits less of the key */
 #define MT_ONCE_BLOCK_DIGITS (MT_ONCE_SEQ_DIGITS - 2)
 #define MT_ONCE_FLOOR_NAME   "floor"
 
-/* A batch that was sent, until it is known whether it took effect. */
-struct flight
+/* A batch being written, until it is known whether it is committed. */
+struct in_flight
 {
   bool active;
-  bool in_doubt; /* a write of it went unanswered */
-  bool check;    /* read before writing again */
+  bool unconfirmed; /* the result of a write is unknown */
+  bool read_back;   /* read the stored batch before writing again */
   uint64_t seq;
   struct mt_batch batch; /* the ends, then the claims */
   guint n_ends;
-  GPtrArray *asks;  /* one for each claim; NULL where the asker gave up */
-  int64_t fresh_us; /* when seq was known to be free */
-  int64_t begun_us; /* of its first write */
+  GPtrArray *requests; /* one per claim; NULL if the request was cancelled */
+  int64_t seq_free_us; /* when seq was last known to be free */
+  int64_t started_us;  /* time of the first write */
 };
 
-/* A batch in the log, for trimming. */
-struct landed
+/* A committed batch, as trimming needs it. */
+struct committed_batch
 {
   uint64_t seq;
   int64_t wall_us; /* by its writer's clock */
-  int64_t seen_us; /* by this process's clock */
+  int64_t seen_us; /* when this process saw it, by its own clock */
 };
 
 struct mt_once
 {
   struct mt_once_options options;
   char prefix[MT_ONCE_KEY_BYTES];
-  unsigned room;       /* for claims in memory */
-  uint64_t next_batch; /* of the writer's own ids */
-  GQueue asks;         /* of struct mt_once_request, not in the flight */
-  GArray *ends;        /* of struct mt_record, not in the flight */
-  int64_t ends_us;     /* since when ends wait */
-  int64_t retry_us;    /* no call before */
-  struct flight flight;
+  unsigned free_capacity;     /* number of claims that may still be added in memory */
+  uint64_t last_batch_number; /* last number used in the ids of this writer's batches */
+  GQueue requests;            /* of struct mt_once_request, without those in flight */
+  GArray *ends;               /* of struct mt_record, without those in flight */
+  int64_t ends_since_us;      /* since when ends are queued */
+  int64_t retry_us;           /* no call before this time */
+  struct in_flight in_flight;
   /* The view of the log. */
   bool loaded;
-  struct mt_held *held;
-  GQueue landed;     /* of struct landed, oldest first */
-  uint64_t next_seq; /* all batches below are read */
-  int64_t fresh_us;  /* next_seq did not exist then, and was not trimmed */
-  int64_t probed_us; /* next_seq was absent then, trimmed or not; 0: not probed */
-  bool look;         /* asks wait for a fresher view */
-  uint64_t floor;    /* batches below are trimmed, or will be */
+  struct mt_claim_table *claims;
+  GQueue committed;          /* of struct committed_batch, oldest first */
+  uint64_t next_seq;         /* all batches below it are applied */
+  int64_t view_confirmed_us; /* when next_seq was last known neither to exist nor to be trimmed */
+  int64_t probed_us;         /* when next_seq was found absent, trimmed or not; 0: not probed */
+  bool needs_refresh;        /* requests wait for a more recent view */
+  uint64_t floor;            /* batches below it are trimmed or will be */
   uint64_t floor_index;
-  char *fault;
+  char *read_error;
   /* Trimming. */
-  int64_t trim_us; /* not before */
-  bool floor_read; /* floor_index is current */
+  int64_t next_trim_us;   /* no trimming before this time */
+  bool floor_index_valid; /* floor_index is current */
   uint64_t trim_from;
 };
 
 /* once.c */
-void mt_once_settle (struct mt_once *once, struct mt_once_request *ask, enum mt_once_result result);
+void
+mt_once_settle (struct mt_once *once, struct mt_once_request *request, enum mt_once_result result);
 void mt_once_retry_later (struct mt_once *once);
-/* Always true, for callers that return it. */
+/* Always returns true, so that callers can return the result. */
 bool
 mt_once_start_call (struct mt_once *once, struct mt_once_call *call, enum mt_once_call_kind kind);
-/* False, and wake_us brought forward, where the pace allows no write now. */
+/* Returns false and lowers wake_us if the rate limit allows no write now. */
 bool mt_once_take_token (struct mt_once *once, int64_t *wake_us);
 
 /* once_view.c */
-bool mt_once_is_fresh (const struct mt_once *once, int64_t since_us, int64_t within_us);
-/* Forgets the view; it is read anew. */
-void mt_once_unload (struct mt_once *once);
-void mt_once_apply (struct mt_once *once, const struct mt_batch *batch, uint64_t seq);
-bool mt_once_learn (struct mt_once *once, const struct mt_store_value *value, uint64_t seq);
+bool mt_once_is_recent (const struct mt_once *once, int64_t since_us, int64_t within_us);
+/* Discards the view; the log is read again. */
+void mt_once_discard_view (struct mt_once *once);
+void mt_once_apply_batch (struct mt_once *once, const struct mt_batch *batch, uint64_t seq);
+bool mt_once_apply_value (struct mt_once *once, const struct mt_store_value *value, uint64_t seq);
 void mt_once_raise_floor (struct mt_once *once, uint64_t floor);
-bool mt_once_read_seq (const char *text, uint64_t *out);
-void mt_once_absorb_list (struct mt_once *once, const struct mt_once_call *call);
-void mt_once_absorb_probe (struct mt_once *once, const struct mt_once_call *call);
-void mt_once_absorb_floor (struct mt_once *once, const struct mt_once_call *call);
+bool mt_once_parse_seq (const char *text, uint64_t *out);
+void mt_once_handle_list (struct mt_once *once, const struct mt_once_call *call);
+void mt_once_handle_probe (struct mt_once *once, const struct mt_once_call *call);
+void mt_once_handle_floor (struct mt_once *once, const struct mt_once_call *call);
 
 /* once_flight.c */
-/* Settles what the view can settle and plans a batch of the rest; it is launched or cleared. */
-void mt_once_plan (struct mt_once *once, struct flight *flight);
-void mt_once_launch (struct mt_once *once, struct flight *flight);
-void mt_once_clear_flight (struct mt_once *once);
-void mt_once_absorb_write (struct mt_once *once, const struct mt_once_call *call);
-void mt_once_absorb_check (struct mt_once *once, const struct mt_once_call *call);
+/* Settles the requests that the view can answer and plans a batch of the others. The caller starts
+ * the write of the batch or clears it. */
+void mt_once_plan_batch (struct mt_once *once, struct in_flight *in_flight);
+void mt_once_start_write (struct mt_once *once, struct in_flight *in_flight);
+void mt_once_clear_in_flight (struct mt_once *once);
+void mt_once_handle_write (struct mt_once *once, const struct mt_once_call *call);
+void mt_once_handle_read_batch (struct mt_once *once, const struct mt_once_call *call);
 
 /* once_trim.c */
 bool mt_once_next_trim (struct mt_once *once, struct mt_once_call *call, int64_t *wake_us);
-void mt_once_absorb_raise (struct mt_once *once, const struct mt_once_call *call);
-void mt_once_absorb_trim (struct mt_once *once, const struct mt_once_call *call);
+void mt_once_handle_raise_floor (struct mt_once *once, const struct mt_once_call *call);
+void mt_once_handle_trim (struct mt_once *once, const struct mt_once_call *call);
 
 #endif
--- a/core/once/once_view.c
+++ b/core/once/once_view.c
@@ -4,51 +4,51 @@
 
 #include <string.h>
 
-#define FAULT_RETRY_US (1 * MT_SECOND)
+#define READ_ERROR_RETRY_DELAY_US (1 * MT_SECOND)
 
 bool
-mt_once_is_fresh (const struct mt_once *once, int64_t since_us, int64_t within_us)
+mt_once_is_recent (const struct mt_once *once, int64_t since_us, int64_t within_us)
 {
   return mt_clock_now (once->options.clock) - since_us < within_us;
 }
 
 void
-mt_once_unload (struct mt_once *once)
+mt_once_discard_view (struct mt_once *once)
 {
   once->loaded = false;
   once->probed_us = 0;
-  once->floor_read = false;
-  mt_held_forget_all (once->held);
-  g_queue_clear_full (&once->landed, g_free);
+  once->floor_index_valid = false;
+  mt_claim_table_clear (once->claims);
+  g_queue_clear_full (&once->committed, g_free);
 }
 
-/* The log can't be read: nothing of the shard is granted until it can. */
+/* The log cannot be read: no claim of the shard is granted until it can. */
 void
-mt_once_set_fault (struct mt_once *once, const char *why)
+mt_once_set_read_error (struct mt_once *once, const char *why)
 {
-  g_free (once->fault);
-  once->fault = g_strdup (why);
-  mt_once_unload (once);
-  once->retry_us = mt_clock_now (once->options.clock) + FAULT_RETRY_US;
+  g_free (once->read_error);
+  once->read_error = g_strdup (why);
+  mt_once_discard_view (once);
+  once->retry_us = mt_clock_now (once->options.clock) + READ_ERROR_RETRY_DELAY_US;
   mt_once_refuse_all (once);
 }
 
 void
-mt_once_apply (struct mt_once *once, const struct mt_batch *batch, uint64_t seq)
+mt_once_apply_batch (struct mt_once *once, const struct mt_batch *batch, uint64_t seq)
 {
-  struct landed *landed = g_new (struct landed, 1);
+  struct committed_batch *committed = g_new (struct committed_batch, 1);
 
-  landed->seq = seq;
-  landed->wall_us = batch->wall_ms * MT_MS;
-  landed->seen_us = mt_clock_now (once->options.clock);
-  g_queue_push_tail (&once->landed, landed);
-  mt_held_apply (once->held, batch, seq);
+  committed->seq = seq;
+  committed->wall_us = batch->wall_ms * MT_MS;
+  committed->seen_us = mt_clock_now (once->options.clock);
+  g_queue_push_tail (&once->committed, committed);
+  mt_claim_table_apply (once->claims, batch, seq);
   once->next_seq = seq + 1;
   once->probed_us = 0;
 }
 
 bool
-mt_once_learn (struct mt_once *once, const struct mt_store_value *value, uint64_t seq)
+mt_once_apply_value (struct mt_once *once, const struct mt_store_value *value, uint64_t seq)
 {
   g_autoptr (GError) error = NULL;
   struct mt_batch batch;
@@ -57,9 +57,9 @@
   mt_batch_init (&batch);
   ok = mt_batch_decode ((struct mt_str){ value->data, value->len }, &batch, &error);
   if (ok)
-    mt_once_apply (once, &batch, seq);
+    mt_once_apply_batch (once, &batch, seq);
   else
-    mt_once_set_fault (once, error->message);
+    mt_once_set_read_error (once, error->message);
   mt_batch_clear (&batch);
   return ok;
 }
@@ -67,18 +67,18 @@
 void
 mt_once_raise_floor (struct mt_once *once, uint64_t floor)
 {
-  const struct landed *oldest;
+  const struct committed_batch *oldest;
 
   if (floor <= once->floor)
     return;
   once->floor = floor;
-  mt_held_forget_below (once->held, floor);
-  while ((oldest = g_queue_peek_head (&once->landed)) != NULL && oldest->seq < floor)
-    g_free (g_queue_pop_head (&once->landed));
+  mt_claim_table_remove_below (once->claims, floor);
+  while ((oldest = g_queue_peek_head (&once->committed)) != NULL && oldest->seq < floor)
+    g_free (g_queue_pop_head (&once->committed));
 }
 
 bool
-mt_once_read_seq (const char *text, uint64_t *out)
+mt_once_parse_seq (const char *text, uint64_t *out)
 {
   unsigned long long value;
 
@@ -89,20 +89,20 @@
 }
 
 void
-mt_once_absorb_probe (struct mt_once *once, const struct mt_once_call *call)
+mt_once_handle_probe (struct mt_once *once, const struct mt_once_call *call)
 {
   if (!call->ok)
     mt_once_retry_later (once);
   else if (call->value.found)
-    mt_once_learn (once, &call->value, once->next_seq);
+    mt_once_apply_value (once, &call->value, once->next_seq);
   else
     once->probed_us = call->started_us;
 }
 
-/* That the next number is absent proves little: it may have been written and trimmed. The floor,
- * read after it, tells: it is raised before anything is removed. */
+/* If the next number is absent it may still have been written and trimmed. The floor, read after
+ * the probe, shows this: it is raised before any batch is removed. */
 void
-mt_once_absorb_floor (struct mt_once *once, const struct mt_once_call *call)
+mt_once_handle_floor (struct mt_once *once, const struct mt_once_call *call)
 {
   uint64_t floor = 0;
 
@@ -111,21 +111,21 @@
       mt_once_retry_later (once);
       return;
     }
-  if (call->value.found && !mt_once_read_seq (call->value.data, &floor))
+  if (call->value.found && !mt_once_parse_seq (call->value.data, &floor))
     {
-      mt_once_set_fault (once, "the floor of the log of claims is not a number; restore it");
+      mt_once_set_read_error (once, "the floor of the log of claims is not a number; restore it");
       return;
     }
   if (floor > once->next_seq)
     {
-      mt_once_unload (once);
+      mt_once_discard_view (once);
       return;
     }
   mt_once_raise_floor (once, floor);
   once->floor_index = call->value.index;
-  once->floor_read = true;
+  once->floor_index_valid = true;
   if (once->probed_us != 0)
-    once->fresh_us = MAX (once->fresh_us, once->probed_us);
+    once->view_confirmed_us = MAX (once->view_confirmed_us, once->probed_us);
   once->probed_us = 0;
 }
 
@@ -139,14 +139,14 @@
       if (strcmp (value->key + strlen (once->prefix), MT_ONCE_FLOOR_NAME) != 0)
         continue;
       *known = true;
-      return mt_once_read_seq (value->data, floor);
+      return mt_once_parse_seq (value->data, floor);
     }
   return true;
 }
 
-/* Learns the batches from the floor on, which must follow each other without a gap. */
+/* Applies the batches from the floor on, whose numbers must have no gap. */
 static bool
-learn_list (struct mt_once *once, const GPtrArray *list, uint64_t floor, bool floor_known)
+apply_list (struct mt_once *once, const GPtrArray *list, uint64_t floor, bool floor_known)
 {
   bool first = true;
 
@@ -157,7 +157,7 @@
       const struct mt_store_value *value = list->pdata[i];
       uint64_t seq;
 
-      if (!mt_once_read_seq (value->key + strlen (once->prefix), &seq))
+      if (!mt_once_parse_seq (value->key + strlen (once->prefix), &seq))
         continue;
       if (seq < floor)
         {
@@ -169,18 +169,18 @@
       first = false;
       if (seq != once->next_seq)
         {
-          mt_once_set_fault (
+          mt_once_set_read_error (
               once, "the log of claims has a gap; the store lost writes, see docs/platform.md");
           return false;
         }
-      if (!mt_once_learn (once, value, seq))
+      if (!mt_once_apply_value (once, value, seq))
         return false;
     }
   return true;
 }
 
 void
-mt_once_absorb_list (struct mt_once *once, const struct mt_once_call *call)
+mt_once_handle_list (struct mt_once *once, const struct mt_once_call *call)
 {
   uint64_t floor = 0;
   bool known = false;
@@ -190,16 +190,16 @@
       mt_once_retry_later (once);
       return;
     }
-  mt_once_unload (once);
+  mt_once_discard_view (once);
   if (!find_listed_floor (once, call->list, &floor, &known))
     {
-      mt_once_set_fault (once, "the floor of the log of claims is not a number; restore it");
+      mt_once_set_read_error (once, "the floor of the log of claims is not a number; restore it");
       return;
     }
   once->floor = floor;
-  if (!learn_list (once, call->list, floor, known))
+  if (!apply_list (once, call->list, floor, known))
     return;
   once->loaded = true;
-  once->fresh_us = call->started_us;
-  g_clear_pointer (&once->fault, g_free);
+  once->view_confirmed_us = call->started_us;
+  g_clear_pointer (&once->read_error, g_free);
 }
--- a/core/once/pace.c
+++ b/core/once/pace.c
@@ -1,7 +1,7 @@
 #include "medlartrack/pace.h"
 
-/* The bucket is kept as one instant: each token taken moves it on by an interval, and there is a
- * token while it lies less than the burst ahead. */
+/* The bucket is stored as the time at which it will be full: each token taken moves that time on by
+ * one interval, and a token is available while it is less than `burst` intervals ahead. */
 int64_t
 mt_token_bucket_next_token_us (const struct mt_token_bucket *pace, int64_t now_us)
 {
--- a/include/medlartrack/pace.h
+++ b/include/medlartrack/pace.h
@@ -1,4 +1,4 @@
-/* A token bucket: how many calls a second may be made. Not thread-safe: the owner holds a lock. */
+/* Token bucket that limits calls per second. Not thread-safe: the owner holds a lock. */
 #ifndef MEDLARTRACK_PACE_H
 #define MEDLARTRACK_PACE_H
 
@@ -8,14 +8,14 @@
 
 struct mt_token_bucket
 {
-  int64_t interval_us; /* between two calls in the long run */
+  int64_t interval_us; /* time per token */
   unsigned burst;      /* calls that may be made at once after a pause */
-  int64_t full_us;     /* when the bucket would be full again; 0 at first */
+  int64_t full_us;     /* when the bucket will be full again; 0 initially */
 };
 
-/* Takes a token if there is one. */
+/* Takes a token if one is available; returns false otherwise. */
 bool mt_token_bucket_take (struct mt_token_bucket *pace, int64_t now_us);
-/* When the next token comes; not later than now where there is one. */
+/* The time of the next token; not later than now if one is available. */
 int64_t mt_token_bucket_next_token_us (const struct mt_token_bucket *pace, int64_t now_us);
 
 #endif
