--- a/tests/once/property_once.cpp
+++ b/tests/once/property_once.cpp
@@ -1,5 +1,5 @@
-/* Any interleaving of writers with pauses, lost and late answers, failed calls, stale views, trims
- * and restarts: no key is granted to two attempts, and what was refused never runs. */
+/* For any interleaving of writers with pauses, lost and late responses, failed calls, stale views,
+ * trims and restarts: no key is granted to two attempts, and refused requests never run. */
 #include <glib.h>
 
 #include <rapidcheck.h>
@@ -22,9 +22,9 @@
 constexpr int64_t kKeepUs = 60 * MT_SECOND;
 constexpr int64_t kLongPauseUs = 3600 * MT_SECOND;
 
-struct Ask
+struct Request
 {
-  struct mt_once_request ask = {};
+  struct mt_once_request inner = {};
   unsigned writer = 0;
   bool cancelled = false;
   bool settled = false;
@@ -34,7 +34,7 @@
 struct Grant
 {
   uint64_t attempt = 0;
-  bool live = false;
+  bool active = false;
   int64_t since_us = 0;
 };
 
@@ -45,7 +45,7 @@
   World *world = nullptr;
   mt_once *once = nullptr;
   mt_once_call call = {};
-  mt_token_bucket pace = {};
+  mt_token_bucket bucket = {};
   enum
   {
     IDLE,
@@ -61,10 +61,10 @@
   const mt_clock *clock = mt_clock_manual_clock (manual);
   fake_store *fake = fake_store_create (clock);
   Writer writers[kWriters];
-  std::vector<std::unique_ptr<Ask>> asks;
+  std::vector<std::unique_ptr<Request>> requests;
   std::map<uint64_t, Grant> grants;
   uint64_t next_id = 0;
-  const char *broken = nullptr; /* set inside callbacks from C, which no exception may cross */
+  const char *violation = nullptr; /* set inside C callbacks, which no exception may cross */
 
   World ()
   {
@@ -86,26 +86,26 @@
   static void
   settled (void *, struct mt_once_request *settled)
   {
-    auto *ask = static_cast<Ask *> (settled->owner);
+    auto *request = static_cast<Request *> (settled->owner);
     World *world = current;
 
-    if (ask->settled || ask->cancelled)
-      world->broken = "an ask was settled after its end";
-    ask->settled = true;
+    if (request->settled || request->cancelled)
+      world->violation = "a request was settled after its end";
+    request->settled = true;
     if (settled->result == MT_ONCE_GRANTED)
-      world->check_grant (*ask);
+      world->check_grant (*request);
   }
 
   void
-  check_grant (const Ask &ask)
+  check_grant (const Request &request)
   {
-    Grant &grant = grants[ask.ask.key[0]];
+    Grant &grant = grants[request.inner.key[0]];
     int64_t now = mt_clock_now (clock);
 
-    if (grant.live && now - grant.since_us < kKeepUs)
-      broken = "a key was granted to two attempts";
-    grant.attempt = ask.ask.attempt[0];
-    grant.live = true;
+    if (grant.active && now - grant.since_us < kKeepUs)
+      violation = "a key was granted to two attempts";
+    grant.attempt = request.inner.attempt[0];
+    grant.active = true;
     grant.since_us = now;
   }
 
@@ -114,12 +114,12 @@
   {
     mt_once_options options = {};
 
-    writer.pace.interval_us = 1;
-    writer.pace.burst = 1000;
+    writer.bucket.interval_us = 1;
+    writer.bucket.burst = 1000;
     options.clock = clock;
     options.writer = ++next_id;
     options.retention_us = kKeepUs;
-    options.write_limit = &writer.pace;
+    options.write_limit = &writer.bucket;
     options.settled = settled;
     writer.once = mt_once_create (&options);
   }
@@ -138,31 +138,31 @@
     mt_once_destroy (writer.once);
   }
 
-  /* As when the daemon is killed: what it was asked is answered by nobody, what it holds stays. */
+  /* As if the daemon was killed: its requests get no answer, and its claims stay. */
   void
   restart (unsigned w)
   {
     stop (writers[w]);
-    for (auto &ask : asks)
-      if (ask->writer == w)
-        ask->cancelled = ask->ended = true;
+    for (auto &request : requests)
+      if (request->writer == w)
+        request->cancelled = request->ended = true;
     start (writers[w]);
   }
 
-  Ask &
-  put_ask (unsigned w, uint64_t key)
+  Request &
+  add_request (unsigned w, uint64_t key)
   {
-    auto ask = std::make_unique<Ask> ();
-
-    ask->writer = w;
-    ask->ask.key[0] = key;
-    ask->ask.key[1] = 1;
-    ask->ask.attempt[0] = ++next_id;
-    ask->ask.holder_timeout_ms = 5000;
-    ask->ask.owner = ask.get ();
-    mt_once_request (writers[w].once, &ask->ask);
-    asks.push_back (std::move (ask));
-    return *asks.back ();
+    auto request = std::make_unique<Request> ();
+
+    request->writer = w;
+    request->inner.key[0] = key;
+    request->inner.key[1] = 1;
+    request->inner.attempt[0] = ++next_id;
+    request->inner.holder_timeout_ms = 5000;
+    request->inner.owner = request.get ();
+    mt_once_request (writers[w].once, &request->inner);
+    requests.push_back (std::move (request));
+    return *requests.back ();
   }
 
   bool
@@ -203,19 +203,18 @@
     mt_clock_manual_advance (manual, us);
   }
 
-  /* Brings the log near the end of a block, so that trims are in reach. */
+  /* Brings the log near the end of a block, so that trims can happen. */
   void
-  fill (unsigned batches)
+  fill_log (unsigned batches)
   {
     for (unsigned i = 0; i < batches; i++)
       {
-        put_ask (0, 1000 + i);
+        add_request (0, 1000 + i);
         run (0);
       }
   }
 
-  /* One writer stands still, whatever it has in its hands, while time passes and the others go on.
-   */
+  /* One writer is paused in whatever phase it is, while time passes and the others continue. */
   void
   pause (unsigned w, unsigned arg)
   {
@@ -225,38 +224,40 @@
         for (unsigned other = 0; other < kWriters; other++)
           if (other != w)
             {
-              put_ask (other, (arg + other) % kKeys);
+              add_request (other, (arg + other) % kKeys);
               run (other);
             }
       }
   }
 
-  Ask *
-  pick (unsigned arg)
+  Request *
+  pick_request (unsigned arg)
   {
-    return asks.empty () ? nullptr : asks[asks.size () - 1 - arg % asks.size ()].get ();
+    return requests.empty () ? nullptr
+                             : requests[requests.size () - 1 - arg % requests.size ()].get ();
   }
 
   void
   cancel (unsigned arg)
   {
-    Ask *ask = pick (arg);
+    Request *request = pick_request (arg);
 
-    if (ask == nullptr || ask->settled || ask->cancelled)
+    if (request == nullptr || request->settled || request->cancelled)
       return;
-    mt_once_cancel (writers[ask->writer].once, &ask->ask);
-    ask->cancelled = true;
+    mt_once_cancel (writers[request->writer].once, &request->inner);
+    request->cancelled = true;
   }
 
   void
-  end (Ask &ask, enum mt_once_end how)
+  end (Request &request, enum mt_once_end how)
   {
-    if (ask.ended || ask.ask.result != MT_ONCE_GRANTED || ask.cancelled)
+    if (request.ended || request.inner.result != MT_ONCE_GRANTED || request.cancelled)
       return;
-    ask.ended = true;
-    mt_once_end (writers[ask.writer].once, ask.ask.key, ask.ask.attempt, how, 200);
-    if (how == MT_ONCE_END_RELEASED && grants[ask.ask.key[0]].attempt == ask.ask.attempt[0])
-      grants[ask.ask.key[0]].live = false;
+    request.ended = true;
+    mt_once_end (writers[request.writer].once, request.inner.key, request.inner.attempt, how, 200);
+    if (how == MT_ONCE_END_RELEASED
+        && grants[request.inner.key[0]].attempt == request.inner.attempt[0])
+      grants[request.inner.key[0]].active = false;
   }
 
   bool
@@ -268,23 +269,23 @@
   void
   check ()
   {
-    if (broken != nullptr)
-      RC_FAIL (broken);
+    if (violation != nullptr)
+      RC_FAIL (violation);
   }
 
   void
-  act (unsigned op, unsigned w, unsigned arg)
+  run_operation (unsigned op, unsigned w, unsigned arg)
   {
     if (op < 30)
-      put_ask (w, arg % kKeys);
+      add_request (w, arg % kKeys);
     else if (op < 60)
       run (w);
     else if (op < 110)
       step (w);
     else if (op < 116)
       cancel (arg);
-    else if (op < 126 && pick (arg) != nullptr)
-      end (*pick (arg), arg % 3 == 0 ? MT_ONCE_END_DONE : MT_ONCE_END_RELEASED);
+    else if (op < 126 && pick_request (arg) != nullptr)
+      end (*pick_request (arg), arg % 3 == 0 ? MT_ONCE_END_DONE : MT_ONCE_END_RELEASED);
     else if (op < 132)
       advance ((arg % 20) * MT_SECOND);
     else if (op < 137)
@@ -297,9 +298,9 @@
       fake_store_fault_by_seed (fake, arg, arg % 2 == 0 ? 0 : 300);
   }
 
-  /* All faults end: every ask is settled, every end recorded. */
+  /* Ends all faults: every request must be settled and every end recorded. */
   void
-  heal ()
+  end_faults ()
   {
     fake_store_fault_by_seed (fake, 0, 0);
     fake_store_deliver (fake);
@@ -310,8 +311,8 @@
         advance (MT_SECOND);
       }
     check ();
-    for (auto &ask : asks)
-      RC_ASSERT (ask->settled || ask->cancelled);
+    for (auto &request : requests)
+      RC_ASSERT (request->settled || request->cancelled);
   }
 
   static World *current;
@@ -325,17 +326,18 @@
   World world;
 
   World::current = &world;
-  world.fill (98);
+  world.fill_log (98);
   for (const auto &[op, w, arg] : ops)
-    world.act (op % 150, w % kWriters, arg);
-  world.heal ();
+    world.run_operation (op % 150, w % kWriters, arg);
+  world.end_faults ();
   for (uint64_t key = 0; key < kKeys; key++)
-    world.put_ask (key % kWriters, key);
-  world.heal ();
+    world.add_request (key % kWriters, key);
+  world.end_faults ();
   RC_CLASSIFY (world.trimmed (), "trimmed");
 }
 
-/* Where nobody was killed, a key whose every attempt was refused or released is free again. */
+/* If no writer was killed, a key must be free again once all its attempts were refused or released.
+ */
 void
 refused_leaves_no_claim (const std::vector<std::tuple<unsigned, unsigned, unsigned>> &ops)
 {
@@ -344,17 +346,17 @@
   World::current = &world;
   for (const auto &[op, w, arg] : ops)
     if (op % 150 < 137 || op % 150 >= 140)
-      world.act (op % 150, w % kWriters, arg - arg % 3 + 1);
-  world.heal ();
-  for (auto &ask : world.asks)
-    world.end (*ask, MT_ONCE_END_RELEASED);
-  world.heal ();
+      world.run_operation (op % 150, w % kWriters, arg - arg % 3 + 1);
+  world.end_faults ();
+  for (auto &request : world.requests)
+    world.end (*request, MT_ONCE_END_RELEASED);
+  world.end_faults ();
   for (uint64_t key = 0; key < kKeys; key++)
     {
-      Ask &ask = world.put_ask (key % kWriters, key);
+      Request &request = world.add_request (key % kWriters, key);
 
-      world.heal ();
-      RC_ASSERT (ask.ask.result == MT_ONCE_GRANTED);
+      world.end_faults ();
+      RC_ASSERT (request.inner.result == MT_ONCE_GRANTED);
     }
 }
 
