--- a/core/config/acceptance.c
+++ b/core/config/acceptance.c
@@ -10,7 +10,8 @@
   return mt_str_equal (held->id, offered->id) ? MT_ACCEPTANCE_SAME : MT_ACCEPTANCE_FORKED;
 }
 
-/* A value that can't be read is nobody's to replace: a newer release may have written it. */
+/* A value that can't be parsed doesn't count as older and is not replaced: a newer release may have
+ * written it. */
 static bool
 is_older (const struct mt_tables *held, const struct mt_store_value *value)
 {
--- a/core/config/fields.c
+++ b/core/config/fields.c
@@ -10,20 +10,20 @@
 
 bool
 mt_fields_refuse (GError **error,
-                  struct mt_field_location place,
+                  struct mt_field_location location,
                   const char *key,
                   const json_t *found,
                   const char *remedy)
 {
   char *text = found != NULL ? json_dumps (found, JSON_ENCODE_ANY | JSON_COMPACT) : NULL;
   g_autofree char *shown = g_strndup (text != NULL ? text : "nothing", MAX_SHOWN_BYTES);
-  /* Both may have been cut within a character; jansson, for one, refuses to print such a message.
-   */
+  /* Both may have been cut within a UTF-8 character, and jansson, for one, can't print such a
+   * message. */
   g_autofree char *valid = g_utf8_make_valid (shown, -1);
-  g_autofree char *where = g_utf8_make_valid (place.where, -1);
+  g_autofree char *where = g_utf8_make_valid (location.where, -1);
 
   free (text);
-  g_set_error (error, MT_ERROR, (gint) place.code, "%s, %s: found %s; %s", where, key, valid,
+  g_set_error (error, MT_ERROR, (gint) location.code, "%s, %s: found %s; %s", where, key, valid,
                remedy);
   return false;
 }
@@ -32,7 +32,7 @@
 read_text (const void *owner,
            const json_t *value,
            const struct mt_field *field,
-           struct mt_field_location place,
+           struct mt_field_location location,
            struct mt_str *out,
            GError **error)
 {
@@ -45,11 +45,11 @@
       return true;
     }
   if (!json_is_string (value) || len == 0 || len > MAX_TEXT_BYTES)
-    return mt_fields_refuse (error, place, field->name, value, "write a text of 1 to 200 bytes");
+    return mt_fields_refuse (error, location, field->name, value, "write a text of 1 to 200 bytes");
   if (strlen (json_string_value (value)) != len)
-    return mt_fields_refuse (error, place, field->name, value, "remove the NUL byte");
+    return mt_fields_refuse (error, location, field->name, value, "remove the NUL byte");
   if (!form->accepts ((struct mt_str){ json_string_value (value), len }))
-    return mt_fields_refuse (error, place, field->name, value, form->remedy);
+    return mt_fields_refuse (error, location, field->name, value, form->remedy);
   out->data = talloc_strndup (owner, json_string_value (value), len);
   out->len = len;
   return true;
@@ -58,26 +58,26 @@
 static bool
 read_number (const json_t *value,
              const struct mt_field *field,
-             struct mt_field_location place,
+             struct mt_field_location location,
              double *out,
              GError **error)
 {
   bool whole = field->kind == MT_FIELD_COUNT;
-  bool right_type = whole ? json_is_integer (value) : json_is_number (value);
+  bool valid_type = whole ? json_is_integer (value) : json_is_number (value);
   g_autofree char *remedy = NULL;
 
   *out = value != NULL ? json_number_value (value) : field->fallback;
-  if (value == NULL || (right_type && *out >= field->min && *out <= field->max))
+  if (value == NULL || (valid_type && *out >= field->min && *out <= field->max))
     return true;
   remedy = g_strdup_printf ("write a %s from %.10g to %.10g", whole ? "whole number" : "number",
                             field->min, field->max);
-  return mt_fields_refuse (error, place, field->name, value, remedy);
+  return mt_fields_refuse (error, location, field->name, value, remedy);
 }
 
 static bool
 read_choice (const json_t *value,
              const struct mt_field *field,
-             struct mt_field_location place,
+             struct mt_field_location location,
              int *out,
              GError **error)
 {
@@ -95,7 +95,7 @@
       }
   all = g_strjoinv ("\", \"", (gchar **) field->choices);
   remedy = g_strdup_printf ("write one of \"%s\"", all);
-  return mt_fields_refuse (error, place, field->name, value, remedy);
+  return mt_fields_refuse (error, location, field->name, value, remedy);
 }
 
 static bool
@@ -103,32 +103,32 @@
             void *row,
             const json_t *value,
             const struct mt_field *field,
-            struct mt_field_location place,
+            struct mt_field_location location,
             GError **error)
 {
   void *at = (char *) row + field->offset;
   double number;
 
   if (value == NULL && field->required)
-    return mt_fields_refuse (error, place, field->name, NULL, "it is required");
+    return mt_fields_refuse (error, location, field->name, NULL, "it is required");
   switch (field->kind)
     {
     case MT_FIELD_TEXT:
-      return read_text (owner, value, field, place, at, error);
+      return read_text (owner, value, field, location, at, error);
     case MT_FIELD_COUNT:
-      if (!read_number (value, field, place, &number, error))
+      if (!read_number (value, field, location, &number, error))
         return false;
       *(unsigned *) at = (unsigned) number;
       return true;
     case MT_FIELD_WEIGHT:
-      return read_number (value, field, place, at, error);
+      return read_number (value, field, location, at, error);
     case MT_FIELD_FLAG:
       if (value != NULL && !json_is_boolean (value))
-        return mt_fields_refuse (error, place, field->name, value, "write true or false");
+        return mt_fields_refuse (error, location, field->name, value, "write true or false");
       *(bool *) at = json_is_true (value);
       return true;
     case MT_FIELD_CHOICE:
-      return read_choice (value, field, place, at, error);
+      return read_choice (value, field, location, at, error);
     }
   return false;
 }
@@ -143,12 +143,12 @@
 }
 
 static bool
-refuse_key (GError **error,
-            struct mt_field_location place,
-            const struct mt_field *fields,
-            const char *const *nested,
-            const char *name,
-            const json_t *found)
+refuse_unknown_key (GError **error,
+                    struct mt_field_location location,
+                    const struct mt_field *fields,
+                    const char *const *nested,
+                    const char *name,
+                    const json_t *found)
 {
   struct mt_suggestion nearest;
   g_autofree char *remedy = NULL;
@@ -160,7 +160,7 @@
     mt_suggestion_try (&nearest, mt_str_from (*nested));
   if (nearest.best.data != NULL)
     remedy = g_strdup_printf ("no such key; did you mean \"%s\"?", nearest.best.data);
-  return mt_fields_refuse (error, place, name, found,
+  return mt_fields_refuse (error, location, name, found,
                            remedy != NULL ? remedy : "no such key; remove it");
 }
 
@@ -170,21 +170,21 @@
                 const json_t *object,
                 const struct mt_field *fields,
                 const char *const *nested,
-                struct mt_field_location place,
+                struct mt_field_location location,
                 GError **error)
 {
   const char *name;
   json_t *value;
 
   if (!json_is_object (object))
-    return mt_fields_refuse (error, place, "(whole)", object, "write an object");
+    return mt_fields_refuse (error, location, "(whole)", object, "write an object");
   json_object_foreach ((json_t *) object, name, value)
   {
     if (!is_known (fields, nested, name))
-      return refuse_key (error, place, fields, nested, name, value);
+      return refuse_unknown_key (error, location, fields, nested, name, value);
   }
   for (const struct mt_field *f = fields; f->name != NULL; f++)
-    if (!read_field (owner, row, json_object_get (object, f->name), f, place, error))
+    if (!read_field (owner, row, json_object_get (object, f->name), f, location, error))
       return false;
   return true;
 }
@@ -219,7 +219,8 @@
     {
       const struct mt_str *text = (const void *) ((const char *) row + f->offset);
 
-      /* An absent optional text reads back as absent; an empty one would be refused. */
+      /* An empty text is left out: reading it back would fail, while an absent one is read as
+       * empty. */
       if (f->kind == MT_FIELD_TEXT && text->len == 0)
         continue;
       json_object_set_new (out, f->name, write_field (text, f));
@@ -228,7 +229,7 @@
 }
 
 json_t *
-mt_fields_load (struct mt_str json, struct mt_field_location place, GError **error)
+mt_fields_load (struct mt_str json, struct mt_field_location location, GError **error)
 {
   json_error_t at;
   json_t *root = json_loadb (json.data, json.len, JSON_REJECT_DUPLICATES, &at);
@@ -237,9 +238,9 @@
 
   if (root != NULL)
     return root;
-  /* jansson quotes what it found near the place, cut at any byte. */
+  /* jansson quotes the text near the error, cut at any byte. */
   text = g_utf8_make_valid (at.text, -1);
-  g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX, "%s, line %d, column %d: %s; mend the JSON there",
-               place.where, at.line, at.column, text);
+  g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX, "%s, line %d, column %d: %s; fix the JSON there",
+               location.where, at.line, at.column, text);
   return NULL;
 }
--- a/core/config/forms.c
+++ b/core/config/forms.c
@@ -6,7 +6,7 @@
 
 #define MAX_PORT 65535
 
-/* Control characters would forge lines of a human-readable log. */
+/* Control characters are refused: they could forge lines of a human-readable log. */
 static bool
 accepts_text (struct mt_str text)
 {
@@ -17,7 +17,7 @@
 }
 
 static bool
-all_of (struct mt_str text, const char *others)
+is_alnum_or (struct mt_str text, const char *others)
 {
   for (size_t i = 0; i < text.len; i++)
     if (!g_ascii_isalnum (text.data[i]) && strchr (others, text.data[i]) == NULL)
@@ -25,11 +25,12 @@
   return text.len > 0;
 }
 
-/* Such names become part of a key and so of a URL: a '/' or '?' in one would name another key. */
+/* Names become part of a store key and so of a URL: a '/' or '?' in one would address another
+ * key. */
 static bool
 accepts_name (struct mt_str text)
 {
-  return text.data[0] != '.' && all_of (text, "._-");
+  return text.data[0] != '.' && is_alnum_or (text, "._-");
 }
 
 static bool
@@ -37,7 +38,8 @@
 {
   unsigned long long port = 0;
 
-  /* "080" and "80" are one port: with leading zeros two rows could share an address unseen. */
+  /* "080" and "80" are the same port: with leading zeros two rows could share an address
+   * unnoticed. */
   if (text.len > 1 && text.data[0] == '0')
     return false;
   return mt_str_to_u64 (text, &port) && port >= min && port <= MAX_PORT;
@@ -88,7 +90,7 @@
 static bool
 accepts_header (struct mt_str text)
 {
-  return all_of (text, "!#$%&'*+-.^_`|~");
+  return is_alnum_or (text, "!#$%&'*+-.^_`|~");
 }
 
 static bool
--- a/core/config/forms.h
+++ b/core/config/forms.h
@@ -1,4 +1,4 @@
-/* What a text column may look like: one check and the remedy that its refusal names. */
+/* Formats of text fields: a check, and the remedy for the error message if it fails. */
 #ifndef MEDLARTRACK_FORMS_H
 #define MEDLARTRACK_FORMS_H
 
@@ -11,12 +11,12 @@
   bool (*accepts) (struct mt_str text);
 };
 
-extern const struct mt_text_format mt_text_format_line; /* printable, one line */
+extern const struct mt_text_format mt_text_format_line; /* one line without control characters */
 extern const struct mt_text_format
-    mt_text_format_name; /* fit for a key of the platform's service */
-extern const struct mt_text_format mt_text_format_address; /* IP:PORT by number, port 1 to 65535 */
+    mt_text_format_name; /* valid in a key of the platform's service */
+extern const struct mt_text_format mt_text_format_address; /* numeric IP:PORT, port 1 to 65535 */
 extern const struct mt_text_format
-    mt_text_format_listen; /* the same, port 0 chosen by the system */
+    mt_text_format_listen; /* numeric IP:PORT, port 0 to 65535; 0: chosen by the system */
 extern const struct mt_text_format mt_text_format_method; /* HTTP method or "*" */
 extern const struct mt_text_format mt_text_format_header; /* HTTP header name */
 extern const struct mt_text_format mt_text_format_path;   /* path of a URL, without query */
--- a/core/config/nearest.c
+++ b/core/config/nearest.c
@@ -2,9 +2,9 @@
 
 #include <glib.h>
 
-#define MAX_COMPARED 64 /* bytes; longer names are cut, which keeps the cost of a guess small */
+#define MAX_COMPARED 64 /* bytes; longer names are cut to limit the cost of a comparison */
 
-/* Edits (insert, delete, replace one byte) from a to b, by the two-row method. */
+/* Returns the number of edits (insert, delete or replace one byte) from a to b. */
 static unsigned
 edit_distance (struct mt_str a, struct mt_str b)
 {
@@ -35,7 +35,7 @@
 {
   nearest->wanted = wanted;
   nearest->best = (struct mt_str){ NULL, 0 };
-  /* Further than half of its length a name is another name, not a slip. */
+  /* A name that differs in more than half of its length is a different name, not a typing error. */
   nearest->distance = (unsigned) wanted.len / 2 + 1;
 }
 
--- a/core/config/nearest.h
+++ b/core/config/nearest.h
@@ -1,4 +1,4 @@
-/* Finds the name that a mistyped one was probably meant to be. */
+/* Finds the known name that is closest to a mistyped one. */
 #ifndef MEDLARTRACK_NEAREST_H
 #define MEDLARTRACK_NEAREST_H
 
@@ -7,7 +7,7 @@
 struct mt_suggestion
 {
   struct mt_str wanted;
-  struct mt_str best; /* data is NULL while none is near enough */
+  struct mt_str best; /* data is NULL if no candidate is close enough */
   unsigned distance;
 };
 
--- a/core/config/settings.c
+++ b/core/config/settings.c
@@ -4,7 +4,7 @@
 
 #include <talloc.h>
 
-#define MAX_PEERS 64 /* a few are enough to find the rest */
+#define MAX_PEERS 64 /* a few are enough to find the others */
 
 static const char *const log_choices[] = { "human", "json", NULL };
 static const char *const log_level_choices[] = { "debug", "info", "warning", "error", NULL };
@@ -48,16 +48,16 @@
 read_peer (struct mt_settings *settings,
            size_t index,
            const json_t *peer,
-           struct mt_field_location place,
+           struct mt_field_location location,
            GError **error)
 {
   struct mt_str text = { json_string_value (peer), json_string_length (peer) };
 
   if (!json_is_string (peer) || !mt_text_format_address.accepts (text))
-    return mt_fields_refuse (error, place, "peers", peer, mt_text_format_address.remedy);
+    return mt_fields_refuse (error, location, "peers", peer, mt_text_format_address.remedy);
   for (size_t i = 0; i < index; i++)
     if (mt_str_equal (settings->peers[i], text))
-      return mt_fields_refuse (error, place, "peers", peer, "it stands twice; remove one");
+      return mt_fields_refuse (error, location, "peers", peer, "it is listed twice; remove one");
   settings->peers[index].data = talloc_strndup (settings, text.data, text.len);
   settings->peers[index].len = text.len;
   return true;
@@ -66,25 +66,27 @@
 static bool
 read_peers (struct mt_settings *settings,
             const json_t *list,
-            struct mt_field_location place,
+            struct mt_field_location location,
             GError **error)
 {
   if (list == NULL)
     return true;
   if (!json_is_array (list) || json_array_size (list) > MAX_PEERS)
-    return mt_fields_refuse (error, place, "peers", list,
+    return mt_fields_refuse (error, location, "peers", list,
                              "write a list of at most 64 texts \"IP:PORT\"");
   settings->n_peers = json_array_size (list);
   settings->peers = talloc_zero_array (settings, struct mt_str, settings->n_peers);
   for (size_t i = 0; i < settings->n_peers; i++)
-    if (!read_peer (settings, i, json_array_get (list, i), place, error))
+    if (!read_peer (settings, i, json_array_get (list, i), location, error))
       return false;
   return true;
 }
 
-/* Callers and peers speak different protocols, so one port can't serve both. */
+/* Callers and peers use different protocols, so one port can't serve both. */
 static bool
-check_listeners (const struct mt_settings *settings, struct mt_field_location place, GError **error)
+check_listeners (const struct mt_settings *settings,
+                 struct mt_field_location location,
+                 GError **error)
 {
   json_t *found;
 
@@ -92,7 +94,7 @@
       || g_str_has_suffix (settings->listen.data, ":0"))
     return true;
   found = json_stringn (settings->peer_listen.data, settings->peer_listen.len);
-  mt_fields_refuse (error, place, "peer_listen", found,
+  mt_fields_refuse (error, location, "peer_listen", found,
                     "listen has it already; write another port");
   json_decref (found);
   return false;
@@ -102,17 +104,17 @@
 read_settings (struct mt_settings *settings, const json_t *root, GError **error)
 {
   static const char *const nested[] = { "peers", "limits", NULL };
-  struct mt_field_location place = { MT_ERROR_SETTINGS, "settings" };
-  struct mt_field_location inner = { MT_ERROR_SETTINGS, "settings, limits" };
+  struct mt_field_location location = { MT_ERROR_SETTINGS, "settings" };
+  struct mt_field_location limits_location = { MT_ERROR_SETTINGS, "settings, limits" };
   json_t *limits = json_object_get (root, "limits");
-  json_t *none = json_object ();
-  bool ok = mt_fields_read (settings, settings, root, settings_fields, nested, place, error)
-            && read_peers (settings, json_object_get (root, "peers"), place, error)
-            && mt_fields_read (settings, &settings->limits, limits != NULL ? limits : none,
-                               limit_fields, NULL, inner, error)
-            && check_listeners (settings, place, error);
-
-  json_decref (none);
+  json_t *empty = json_object ();
+  bool ok = mt_fields_read (settings, settings, root, settings_fields, nested, location, error)
+            && read_peers (settings, json_object_get (root, "peers"), location, error)
+            && mt_fields_read (settings, &settings->limits, limits != NULL ? limits : empty,
+                               limit_fields, NULL, limits_location, error)
+            && check_listeners (settings, location, error);
+
+  json_decref (empty);
   return ok;
 }
 
@@ -125,8 +127,8 @@
 struct mt_settings *
 mt_settings_parse (struct mt_str json, GError **error)
 {
-  struct mt_field_location place = { MT_ERROR_SETTINGS, "settings" };
-  json_t *root = mt_fields_load (json, place, error);
+  struct mt_field_location location = { MT_ERROR_SETTINGS, "settings" };
+  json_t *root = mt_fields_load (json, location, error);
   struct mt_settings *settings;
   bool ok;
 
--- a/core/config/settings_internal.h
+++ b/core/config/settings_internal.h
@@ -1,10 +1,10 @@
-/* For the test that holds docs/operators.md to the keys. */
+/* For the test that compares docs/operators.md with the settings. */
 #ifndef MEDLARTRACK_SETTINGS_INTERNAL_H
 #define MEDLARTRACK_SETTINGS_INTERNAL_H
 
 #include "fields.h"
 
-/* The keys of the settings, or with "limits" of that section. */
+/* Returns the top-level keys for NULL, the keys of "limits" for any other section. */
 const struct mt_field *mt_settings_fields (const char *section);
 
 #endif
--- a/core/config/tables.c
+++ b/core/config/tables.c
@@ -33,7 +33,7 @@
 {
   if (!mt_str_has_prefix (path, prefix))
     return false;
-  /* "/quotes" must not catch "/quotes-old". */
+  /* "/quotes" must not match "/quotes-old". */
   return path.len == prefix.len || prefix.data[prefix.len - 1] == '/'
          || path.data[prefix.len] == '/' || path.data[prefix.len] == '?';
 }
--- a/core/config/tables_budget.c
+++ b/core/config/tables_budget.c
@@ -44,7 +44,7 @@
   return NULL;
 }
 
-/* Refuses a number in a column of the pools table; zone is where it does not hold. */
+/* Refuses a number in a column of the pools table. zone: data centre where it exceeds the limit. */
 static bool
 refuse_number (GError **error,
                const struct mt_pool *pool,
@@ -52,11 +52,12 @@
                unsigned found,
                const char *zone,
                unsigned limit,
-               const char *what,
+               const char *limit_source,
                const char *remedy)
 {
   g_autofree char *value = g_strdup_printf ("%u", found);
-  g_autofree char *bound = g_strdup_printf ("%u (%s in data centre \"%s\")", limit, what, zone);
+  g_autofree char *bound
+      = g_strdup_printf ("%u (%s in data centre \"%s\")", limit, limit_source, zone);
   struct mt_refusal refusal = { "pools", pool->name, column, value, bound, remedy };
 
   return mt_tables_refuse (error, &refusal);
@@ -117,10 +118,10 @@
   return true;
 }
 
-/* An instance marked as leaving gets no new work within seconds, so all that are marked in one edit
- * are down together: the budget has to hold for them at once. */
+/* An instance marked as leaving gets no new work within seconds, so all instances marked in one
+ * edit are down at the same time and must fit into the budget together. */
 static bool
-check_pool_leaving (const struct mt_pool *pool, GHashTable *of_service, GError **error)
+check_pool_leaving (const struct mt_pool *pool, GHashTable *service_counts, GError **error)
 {
   g_autoptr (GHashTable) counts = mt_tables_count_new ();
   GHashTableIter iter;
@@ -132,7 +133,7 @@
   while (g_hash_table_iter_next (&iter, &zone, &value))
     {
       const struct mt_zone_count *count = value;
-      struct mt_zone_count service = mt_tables_count_get (of_service, zone);
+      struct mt_zone_count service = mt_tables_count_get (service_counts, zone);
 
       if (count->leaving == 0)
         continue;
@@ -148,9 +149,9 @@
   return true;
 }
 
-/* Service -> counts over all of its pools. */
+/* Returns a hash table from service to the counts over all of its pools. */
 static GHashTable *
-count_services (const struct mt_tables *tables)
+count_instances_by_service (const struct mt_tables *tables)
 {
   GHashTable *services
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) g_hash_table_unref);
@@ -170,7 +171,8 @@
   return services;
 }
 
-/* A service has one budget: with two numbers nobody could tell which of them holds. */
+/* All pools of a service must have the same budget: with different values it would be unclear which
+ * one applies. */
 static bool
 check_one_budget (const struct mt_tables *tables, GError **error)
 {
@@ -200,7 +202,7 @@
 bool
 mt_tables_check_leaving (const struct mt_tables *tables, GError **error)
 {
-  g_autoptr (GHashTable) services = count_services (tables);
+  g_autoptr (GHashTable) services = count_instances_by_service (tables);
 
   if (!check_one_budget (tables, error))
     return false;
@@ -211,9 +213,10 @@
   return true;
 }
 
-/* What the spare pool may lend there without going below its own min_instances. */
+/* Number of instances that the spare pool can lend in a data centre and keep its own
+ * min_instances. */
 static unsigned
-lendable (const struct mt_pool *spare, GHashTable *spare_counts, const char *zone)
+lendable_instances (const struct mt_pool *spare, GHashTable *spare_counts, const char *zone)
 {
   struct mt_zone_count count = mt_tables_count_get (spare_counts, zone);
 
@@ -239,7 +242,8 @@
   while (g_hash_table_iter_next (&iter, &zone, &value))
     {
       unsigned own = ((const struct mt_zone_count *) value)->staying;
-      unsigned reachable = own + (pool != spare ? lendable (spare, spare_counts, zone) : 0);
+      unsigned reachable
+          = own + (pool != spare ? lendable_instances (spare, spare_counts, zone) : 0);
 
       if (pool->min_instances > reachable)
         return refuse_number (error, pool, "min_instances", pool->min_instances, zone, reachable,
@@ -268,11 +272,12 @@
   return true;
 }
 
-/* Two pools may each fit by leaning on the same spare instances; their sum tells. */
+/* Two pools may each rely on the same spare instances, so the total of min_instances is checked
+ * against all instances. */
 static bool
-check_sum (const struct mt_tables *tables, GHashTable *fleet, GError **error)
+check_min_instances_sum (const struct mt_tables *tables, GHashTable *fleet, GError **error)
 {
-  g_autoptr (GHashTable) sums = mt_tables_count_new ();
+  g_autoptr (GHashTable) totals = mt_tables_count_new ();
 
   for (size_t i = 0; i < tables->n_pools; i++)
     {
@@ -285,14 +290,14 @@
       g_hash_table_iter_init (&iter, counts);
       while (g_hash_table_iter_next (&iter, &zone, NULL))
         {
-          struct mt_zone_count *sum = g_hash_table_lookup (sums, zone);
-          unsigned there = mt_tables_count_get (fleet, zone).staying;
-
-          if (sum == NULL)
-            g_hash_table_insert (sums, zone, sum = g_new0 (struct mt_zone_count, 1));
-          sum->staying += pool->min_instances;
-          if (sum->staying > there)
-            return refuse_number (error, pool, "min_instances", sum->staying, zone, there,
+          struct mt_zone_count *total = g_hash_table_lookup (totals, zone);
+          unsigned available = mt_tables_count_get (fleet, zone).staying;
+
+          if (total == NULL)
+            g_hash_table_insert (totals, zone, total = g_new0 (struct mt_zone_count, 1));
+          total->staying += pool->min_instances;
+          if (total->staying > available)
+            return refuse_number (error, pool, "min_instances", total->staying, zone, available,
                                   "instances of all pools; found is the sum up to this row",
                                   "lower min_instances of some pool or add instances");
         }
@@ -307,12 +312,12 @@
 
   for (size_t i = 0; i < tables->n_pools; i++)
     mt_tables_count_add (fleet, &tables->pools[i]);
-  return check_sum (tables, fleet, error);
+  return check_min_instances_sum (tables, fleet, error);
 }
 
-/* Instances that stay, by data centre and rack. */
+/* Returns the number of instances that are not leaving by "data centre/rack". */
 static GHashTable *
-count_racks (const struct mt_pool *pool)
+count_instances_by_rack (const struct mt_pool *pool)
 {
   GHashTable *racks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
@@ -327,12 +332,12 @@
   return racks;
 }
 
-/* A wave goes by rack. Where a rack holds more instances than the budget, it is drained in parts:
- * slower, and no promise is broken, so this is a warning and not a refusal. */
+/* A wave drains rack by rack. A rack with more instances than the budget is drained in parts: that
+ * is slower but breaks no limit, so it gives a warning and no error. */
 static void
-warn_of_racks (const struct mt_pool *pool, GPtrArray *warnings)
+warn_about_large_racks (const struct mt_pool *pool, GPtrArray *warnings)
 {
-  g_autoptr (GHashTable) racks = count_racks (pool);
+  g_autoptr (GHashTable) racks = count_instances_by_rack (pool);
   GHashTableIter iter;
   gpointer rack;
   gpointer n;
@@ -360,6 +365,6 @@
 
   for (size_t i = 0; i < tables->n_pools; i++)
     if (tables->pools[i].wave.id.len > 0 && !tables->pools[i].wave.stopped)
-      warn_of_racks (&tables->pools[i], warnings);
+      warn_about_large_racks (&tables->pools[i], warnings);
   return warnings;
 }
--- a/core/config/tables_change.c
+++ b/core/config/tables_change.c
@@ -4,13 +4,13 @@
 #include <string.h>
 #include <talloc.h>
 
-#define LOG_ENTRIES     16          /* edits that the change log goes back */
-#define LOG_BYTES       (32 * 1024) /* of the whole log */
-#define LOG_ENTRY_BYTES (8 * 1024)  /* an edit larger than this is noted by its size alone */
+#define MAX_LOG_ENTRIES     16          /* edits kept in the change log */
+#define MAX_LOG_BYTES       (32 * 1024) /* maximum size of the whole change log */
+#define MAX_LOG_ENTRY_BYTES (8 * 1024)  /* of a larger edit, only the number of rows is kept */
 
-/* One flat object for each row, by row name. */
+/* Adds one flat object for each instance to rows, under the instance's name. */
 static void
-add_rows (json_t *rows, const struct mt_pool *pool)
+add_instance_rows (json_t *rows, const struct mt_pool *pool)
 {
   for (size_t i = 0; i < pool->n_instances; i++)
     {
@@ -27,7 +27,7 @@
   json_t *rows = json_object ();
 
   for (size_t i = 0; tables != NULL && i < tables->n_pools; i++)
-    add_rows (rows, &tables->pools[i]);
+    add_instance_rows (rows, &tables->pools[i]);
   return rows;
 }
 
@@ -91,7 +91,7 @@
 }
 
 static void
-note_column (json_t *columns, const char *name, json_t *before, json_t *after)
+add_column_change (json_t *columns, const char *name, json_t *before, json_t *after)
 {
   json_t *change = json_object ();
 
@@ -102,7 +102,7 @@
   json_object_set_new (columns, name, change);
 }
 
-/* The columns that differ between two rows, each with what it was and is. */
+/* Returns the columns that differ between two rows, each with its old and new value. */
 static json_t *
 compare_columns (json_t *before, json_t *after)
 {
@@ -113,24 +113,25 @@
   json_object_foreach (before, name, value)
   {
     if (!json_equal (value, json_object_get (after, name)))
-      note_column (columns, name, value, json_object_get (after, name));
+      add_column_change (columns, name, value, json_object_get (after, name));
   }
   json_object_foreach (after, name, value)
   {
     if (json_object_get (before, name) == NULL)
-      note_column (columns, name, NULL, value);
+      add_column_change (columns, name, NULL, value);
   }
   return columns;
 }
 
 static void
-note_row (json_t *out, const char *table, const char *row, const char *change, json_t *columns)
+add_row_change (
+    json_t *out, const char *table, const char *row, const char *change, json_t *columns)
 {
   json_array_append_new (out, json_pack ("{ss ss ss so}", "table", table, "row", row, "change",
                                          change, "columns", columns));
 }
 
-/* Takes over both sets of rows. */
+/* Takes ownership of before and after. */
 static void
 compare_table (json_t *out, const char *table, json_t *before, json_t *after)
 {
@@ -143,16 +144,16 @@
     json_t *columns = now != NULL ? compare_columns (row, now) : json_object ();
 
     if (now == NULL)
-      note_row (out, table, name, "removed", columns);
+      add_row_change (out, table, name, "removed", columns);
     else if (json_object_size (columns) > 0)
-      note_row (out, table, name, "changed", columns);
+      add_row_change (out, table, name, "changed", columns);
     else
       json_decref (columns);
   }
   json_object_foreach (after, name, row)
   {
     if (json_object_get (before, name) == NULL)
-      note_row (out, table, name, "added", compare_columns (NULL, row));
+      add_row_change (out, table, name, "added", compare_columns (NULL, row));
   }
   json_decref (before);
   json_decref (after);
@@ -174,7 +175,7 @@
 char *
 mt_tables_diff (const struct mt_tables *before, const struct mt_tables *after)
 {
-  return mt_tables_take_text (compare (before, after), JSON_COMPACT);
+  return mt_tables_serialize (compare (before, after), JSON_COMPACT);
 }
 
 bool
@@ -207,17 +208,17 @@
   json_t *entry = json_pack ("{sI ss sI}", "version", (json_int_t) version, "id", id, "count",
                              (json_int_t) json_array_size (rows));
 
-  if (json_dumpb (rows, NULL, 0, JSON_COMPACT) <= LOG_ENTRY_BYTES)
+  if (json_dumpb (rows, NULL, 0, JSON_COMPACT) <= MAX_LOG_ENTRY_BYTES)
     json_object_set (entry, "rows", rows);
   json_decref (rows);
   return entry;
 }
 
 static bool
-fits (const json_t *root, const json_t *log)
+fits_limits (const json_t *root, const json_t *log)
 {
-  return json_array_size (log) <= LOG_ENTRIES
-         && json_dumpb (log, NULL, 0, JSON_COMPACT) <= LOG_BYTES
+  return json_array_size (log) <= MAX_LOG_ENTRIES
+         && json_dumpb (log, NULL, 0, JSON_COMPACT) <= MAX_LOG_BYTES
          && json_dumpb (root, NULL, 0, JSON_COMPACT) <= MT_TABLES_MAX_BYTES;
 }
 
@@ -227,14 +228,14 @@
                        uint64_t version,
                        const char *id)
 {
-  json_t *root = mt_tables_write (wanted, version, id);
+  json_t *root = mt_tables_to_json (wanted, version, id);
   json_t *log = load_log (accepted);
 
   json_array_append_new (log, log_entry (accepted, wanted, version, id));
   json_object_set_new (root, "changes", log);
-  while (json_array_size (log) > 0 && !fits (root, log))
+  while (json_array_size (log) > 0 && !fits_limits (root, log))
     json_array_remove (log, 0);
-  return mt_tables_take_text (root, JSON_COMPACT);
+  return mt_tables_serialize (root, JSON_COMPACT);
 }
 
 char *
@@ -258,7 +259,7 @@
   }
   json_decref (log);
   if (expected == accepted->version + 1)
-    return mt_tables_take_text (out, JSON_COMPACT);
+    return mt_tables_serialize (out, JSON_COMPACT);
   json_decref (out);
   return NULL;
 }
@@ -282,11 +283,11 @@
 }
 
 static bool
-refuse_emptied (const struct mt_route *route, const char *zone, GError **error)
+refuse_emptied_zone (const struct mt_route *route, const char *zone, GError **error)
 {
   g_autofree char *remedy = g_strdup_printf (
-      "no instance of it would stay in data centre \"%s\", which had some: keep one there, or "
-      "give `--empty %s` if that data centre is to be without",
+      "it would have no instance left in data centre \"%s\", which had some: keep one there, or "
+      "give `--empty %s` if that data centre is to have none",
       zone, zone);
   struct mt_refusal refusal
       = { "routes", route->name, "pool", route->pool.data, "1 instance", remedy };
@@ -303,24 +304,24 @@
   for (size_t i = 0; accepted != NULL && i < wanted->n_routes; i++)
     {
       const struct mt_route *route = &wanted->routes[i];
-      const struct mt_pool *was = mt_tables_find_pool (accepted, route->pool);
-      const struct mt_pool *is = mt_tables_find_pool (wanted, route->pool);
+      const struct mt_pool *accepted_pool = mt_tables_find_pool (accepted, route->pool);
+      const struct mt_pool *wanted_pool = mt_tables_find_pool (wanted, route->pool);
       g_autoptr (GHashTable) before = mt_tables_count_new ();
       g_autoptr (GHashTable) after = mt_tables_count_new ();
       GHashTableIter iter;
       gpointer zone;
       gpointer count;
 
-      if (was == NULL)
+      if (accepted_pool == NULL)
         continue;
-      mt_tables_count_add (before, was);
-      mt_tables_count_add (after, is);
+      mt_tables_count_add (before, accepted_pool);
+      mt_tables_count_add (after, wanted_pool);
       g_hash_table_iter_init (&iter, before);
       while (g_hash_table_iter_next (&iter, &zone, &count))
         if (((struct mt_zone_count *) count)->staying > 0
             && mt_tables_count_get (after, zone).staying == 0
             && (may_empty == NULL || !g_strv_contains (may_empty, zone)))
-          return refuse_emptied (route, zone, error);
+          return refuse_emptied_zone (route, zone, error);
     }
   return true;
 }
--- a/core/config/tables_check.c
+++ b/core/config/tables_check.c
@@ -46,13 +46,13 @@
   for (size_t i = 0; i < tables->n_pools; i++)
     if (!g_hash_table_add (seen, (gpointer) tables->pools[i].name.data))
       return refuse_text (error, "pools", tables->pools[i].name, "pool", tables->pools[i].name,
-                          "the name stands twice; rename one row");
+                          "the name is used twice; rename one row");
   return true;
 }
 
-/* The pool that already has the key, which is then refused; NULL after noting it down. */
+/* Returns the pool that already owns the key, or makes pool its owner and returns NULL. */
 static const struct mt_pool *
-claim (GHashTable *owners, struct mt_str key, const struct mt_pool *pool)
+find_or_set_owner (GHashTable *owners, struct mt_str key, const struct mt_pool *pool)
 {
   const struct mt_pool *owner = g_hash_table_lookup (owners, key.data);
 
@@ -68,7 +68,7 @@
                 GHashTable *addresses,
                 GError **error)
 {
-  const struct mt_pool *owner = claim (names, instance->name, pool);
+  const struct mt_pool *owner = find_or_set_owner (names, instance->name, pool);
   g_autofree char *remedy = NULL;
 
   if (owner != NULL)
@@ -78,10 +78,10 @@
           owner->name.data);
       return refuse_text (error, "pools", pool->name, "instances.name", instance->name, remedy);
     }
-  owner = claim (addresses, instance->address, pool);
+  owner = find_or_set_owner (addresses, instance->address, pool);
   if (owner == NULL)
     return true;
-  remedy = g_strdup_printf ("an instance of row \"%s\" has it already; mend one of them",
+  remedy = g_strdup_printf ("an instance of row \"%s\" has it already; correct one of them",
                             owner->name.data);
   return refuse_text (error, "pools", pool->name, "instances.address", instance->address, remedy);
 }
@@ -101,7 +101,7 @@
 }
 
 static bool
-refuse_dangling (const struct mt_tables *tables, const struct mt_route *route, GError **error)
+refuse_unknown_pool (const struct mt_tables *tables, const struct mt_route *route, GError **error)
 {
   struct mt_suggestion nearest;
   g_autofree char *remedy = NULL;
@@ -118,7 +118,7 @@
 }
 
 static bool
-has_staying (const struct mt_pool *pool)
+has_staying_instance (const struct mt_pool *pool)
 {
   for (size_t i = 0; i < pool->n_instances; i++)
     if (!pool->instances[i].leaving)
@@ -139,16 +139,17 @@
       const struct mt_pool *pool = g_hash_table_lookup (pools, route->pool.data);
 
       if (pool == NULL)
-        return refuse_dangling (tables, route, error);
-      if (!has_staying (pool))
-        return refuse_text (error, "routes", route->name, "pool", route->pool,
-                            "that pool has no instance that stays; give it one or point the route "
-                            "elsewhere");
+        return refuse_unknown_pool (tables, route, error);
+      if (!has_staying_instance (pool))
+        return refuse_text (
+            error, "routes", route->name, "pool", route->pool,
+            "that pool has no instance that is not leaving; add one or point the route "
+            "elsewhere");
     }
   return true;
 }
 
-/* "/quotes" and "/quotes/" are one: the second would take every path below from the first. */
+/* "/quotes" and "/quotes/" count as equal: the second would shadow all paths below the first. */
 static char *
 route_key (const struct mt_route *route)
 {
@@ -169,28 +170,29 @@
     {
       const struct mt_route *route = &tables->routes[i];
       char *key = route_key (route);
-      const struct mt_route *rival = g_hash_table_lookup (keys, key);
+      const struct mt_route *existing = g_hash_table_lookup (keys, key);
       g_autofree char *remedy = NULL;
 
       g_hash_table_insert (keys, key, (gpointer) route);
       if (!g_hash_table_add (names, (gpointer) route->name.data))
         return refuse_text (error, "routes", route->name, "route", route->name,
-                            "the name stands twice; rename one row");
-      if (rival == NULL)
+                            "the name is used twice; rename one row");
+      if (existing == NULL)
         continue;
       remedy = g_strdup_printf ("row \"%s\" has this method and path already, one would shadow "
                                 "the other; remove one",
-                                rival->name.data);
+                                existing->name.data);
       return refuse_text (error, "routes", route->name, "path", route->path, remedy);
     }
   return true;
 }
 
-/* The defaults are written out on acceptance, so a small file can make a large value. */
+/* Checks the size with all defaults written out, as on acceptance: a small file can become a large
+ * value. */
 static bool
 check_size (const struct mt_tables *tables, GError **error)
 {
-  json_t *root = mt_tables_write (tables, LONGEST_VERSION, LONGEST_ID);
+  json_t *root = mt_tables_to_json (tables, LONGEST_VERSION, LONGEST_ID);
   size_t len = json_dumpb (root, NULL, 0, JSON_COMPACT);
 
   json_decref (root);
@@ -205,17 +207,17 @@
 
 static const struct rule rules[] = {
   { "pool-names", "no two pools share a name", check_pool_names },
-  { "instance-names", "an instance stands once, with an address of its own", check_instance_names },
+  { "instance-names", "no two instances share a name or an address", check_instance_names },
   { "route-names", "no two routes share a name, or a method and path", check_route_names },
   { "route-pools", "a route names a pool that has instances", check_route_pools },
-  { "spare", "one pool is the spare, or none", mt_tables_check_spare },
-  { "ranges", "min_instances and instances keep to max_instances", mt_tables_check_ranges },
-  { "leaving", "what leaves at once keeps to the budget", mt_tables_check_leaving },
+  { "spare", "at most one pool is the spare", mt_tables_check_spare },
+  { "ranges", "min_instances and instances don't exceed max_instances", mt_tables_check_ranges },
+  { "leaving", "instances leaving at once fit into the budget", mt_tables_check_leaving },
   { "drains", "a wave can drain at least one instance", mt_tables_check_drains },
   { "fleet", "the pools' min_instances fit into the data centre", mt_tables_check_fleet },
   { "teams", "a team has one quota", mt_tables_check_teams },
   { "jobs", "no two jobs share a name, each names a team", mt_tables_check_jobs },
-  { "size", "the value fits the platform", check_size },
+  { "size", "the document fits into one value of the platform", check_size },
 };
 
 bool
--- a/core/config/tables_internal.h
+++ b/core/config/tables_internal.h
@@ -1,4 +1,4 @@
-/* Shared between the modules that read, check, compare and write tables. */
+/* Shared by the modules that read, check, compare and write tables. */
 #ifndef MEDLARTRACK_TABLES_INTERNAL_H
 #define MEDLARTRACK_TABLES_INTERNAL_H
 
@@ -7,21 +7,22 @@
 
 #include <jansson.h>
 
-/* Reads the JSON into tables, whose owner is the caller. */
+/* Reads the JSON document into tables, which the caller allocated with talloc. */
 bool mt_tables_read (struct mt_tables *tables, struct mt_str json, GError **error);
-/* Checks what one row alone can't tell: names, references, budgets, sums. */
+/* Checks the conditions between rows: names, references, budgets and sums. */
 bool mt_tables_check (const struct mt_tables *tables, GError **error);
 
-/* The columns of "routes", "pools", "instances", "teams", "jobs" or "wave". */
+/* Returns the columns of "routes", "pools", "instances", "teams", "jobs" or "wave"; NULL for
+ * others. */
 const struct mt_field *mt_tables_columns (const char *table);
 
-/* The document as JSON, the change log left out. */
-json_t *mt_tables_write (const struct mt_tables *tables, uint64_t version, const char *id);
+/* Returns the document as JSON without the change log. */
+json_t *mt_tables_to_json (const struct mt_tables *tables, uint64_t version, const char *id);
 
-/* The JSON as text by jansson's flags, g_malloced; frees root. */
-char *mt_tables_take_text (json_t *root, size_t flags);
+/* Formats root as text with jansson's flags and releases it; free the text with g_free. */
+char *mt_tables_serialize (json_t *root, size_t flags);
 
-/* What a refused row is told. limit may be NULL. */
+/* Contents of the error for a refused row. limit may be NULL. */
 struct mt_refusal
 {
   const char *table;
@@ -32,30 +33,31 @@
   const char *remedy;
 };
 
-/* Sets the error; always false. */
+/* Sets the error; always returns false. */
 bool mt_tables_refuse (GError **error, const struct mt_refusal *refusal);
 
-/* Instances of one pool or service in one data centre, by the tables. */
+/* Number of instances of a pool or service in one data centre, according to the tables. */
 struct mt_zone_count
 {
   unsigned staying;
   unsigned leaving;
 };
 
-/* Data centre -> struct mt_zone_count; frees its values, borrows its keys. */
+/* Returns a hash table from data centre to struct mt_zone_count. It owns its values but not its
+ * keys. */
 GHashTable *mt_tables_count_new (void);
 void mt_tables_count_add (GHashTable *counts, const struct mt_pool *pool);
-/* Zeros where there is none. */
+/* Returns zeros for a data centre that is not in counts. */
 struct mt_zone_count mt_tables_count_get (GHashTable *counts, const char *zone);
 
-/* The rules of tables_budget.c. */
+/* Rules in tables_budget.c. */
 bool mt_tables_check_spare (const struct mt_tables *tables, GError **error);
 bool mt_tables_check_ranges (const struct mt_tables *tables, GError **error);
 bool mt_tables_check_leaving (const struct mt_tables *tables, GError **error);
 bool mt_tables_check_drains (const struct mt_tables *tables, GError **error);
 bool mt_tables_check_fleet (const struct mt_tables *tables, GError **error);
 
-/* The rules of tables_jobs.c. */
+/* Rules in tables_jobs.c. */
 bool mt_tables_check_jobs (const struct mt_tables *tables, GError **error);
 bool mt_tables_check_teams (const struct mt_tables *tables, GError **error);
 
--- a/core/config/tables_jobs.c
+++ b/core/config/tables_jobs.c
@@ -1,4 +1,4 @@
-/* What must hold between the rows of jobs and teams. */
+/* Checks across the rows of jobs and teams. */
 #include "tables_internal.h"
 
 static bool
@@ -22,7 +22,7 @@
     for (size_t k = 0; k < tables->pools[i].n_teams; k++)
       if (!g_hash_table_add (seen, (gpointer) tables->pools[i].teams[k].team.data))
         return refuse_row (error, &tables->pools[i], "teams.team", tables->pools[i].teams[k].team,
-                           "its quota stands twice; keep one row");
+                           "the team has two quotas; keep one row");
   return true;
 }
 
@@ -34,10 +34,10 @@
            GError **error)
 {
   if (!g_hash_table_add (names, (gpointer) job->job.data))
-    return refuse_row (error, pool, "jobs.job", job->job, "the name stands twice; rename one job");
+    return refuse_row (error, pool, "jobs.job", job->job, "the name is used twice; rename one job");
   if (!g_hash_table_contains (teams, job->team.data))
     return refuse_row (error, pool, "jobs.team", job->team,
-                       "no pool's teams have such a row; add its quota or mend the name");
+                       "no pool has a quota for this team; add one or correct the name");
   return true;
 }
 
--- a/core/config/workspaces.c
+++ b/core/config/workspaces.c
@@ -9,8 +9,8 @@
 struct mt_workspaces
 {
   GPtrArray *rows;     /* struct mt_workspace */
-  GHashTable *names;   /* to struct mt_workspace; borrows both */
-  GHashTable *digests; /* of keys, GBytes, to struct mt_workspace */
+  GHashTable *names;   /* name -> struct mt_workspace; owns neither */
+  GHashTable *digests; /* SHA-256 of a key (GBytes) -> struct mt_workspace, not owned */
 };
 
 static void
@@ -46,7 +46,7 @@
 }
 
 static bool
-is_name (const char *name)
+is_valid_name (const char *name)
 {
   size_t len = name != NULL ? strlen (name) : 0;
 
@@ -65,18 +65,18 @@
 {
   struct mt_workspace *workspace;
 
-  if (!is_name (name))
+  if (!is_valid_name (name))
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "workspace %u has no name of 1 to %d printable characters without spaces; give "
-                   "it one",
+                   "workspace %u needs a name of 1 to %d printable characters without spaces; "
+                   "give it one",
                    list->rows->len + 1, MT_WORKSPACE_MAX_NAME_BYTES);
       return false;
     }
   if (g_hash_table_contains (list->names, name))
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "workspace \"%s\" stands twice; leave one of them out", name);
+                   "workspace \"%s\" is listed twice; remove one of them", name);
       return false;
     }
   if (quota->cpu < 0 || quota->mem < 0 || quota->gpu < 0 || rate < 0)
@@ -93,7 +93,7 @@
 }
 
 static GBytes *
-digest_of (const char *key)
+key_digest (const char *key)
 {
   g_autoptr (GChecksum) sum = g_checksum_new (G_CHECKSUM_SHA256);
   guint8 digest[DIGEST_BYTES];
@@ -107,7 +107,7 @@
 static struct mt_workspace *
 find_key (const struct mt_workspaces *list, const char *key)
 {
-  g_autoptr (GBytes) digest = digest_of (key);
+  g_autoptr (GBytes) digest = key_digest (key);
 
   return g_hash_table_lookup (list->digests, digest);
 }
@@ -121,7 +121,7 @@
   if (key == NULL || key[0] == '\0' || strlen (key) > MT_WORKSPACE_MAX_KEY_BYTES)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "key %u of workspace \"%s\" is no text of 1 to %d bytes; replace it",
+                   "key %u of workspace \"%s\" must be a text of 1 to %d bytes; replace it",
                    last->n_keys + 1, last->name, MT_WORKSPACE_MAX_KEY_BYTES);
       return false;
     }
@@ -129,12 +129,12 @@
   if (holder != NULL && holder != last)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "key %u of workspace \"%s\" is workspace \"%s\"'s too; give each its own",
+                   "key %u of workspace \"%s\" also belongs to workspace \"%s\"; give each its own",
                    last->n_keys + 1, last->name, holder->name);
       return false;
     }
   if (holder == NULL)
-    g_hash_table_insert (list->digests, digest_of (key), last);
+    g_hash_table_insert (list->digests, key_digest (key), last);
   last->n_keys++;
   return true;
 }
--- a/include/medlartrack/acceptance.h
+++ b/include/medlartrack/acceptance.h
@@ -1,6 +1,5 @@
-/* What a daemon does with a tables document that it is offered, by the platform or by a peer: an
- * accepted version never reverts. Pure decisions; the store is called, nothing waits. Any thread.
- */
+/* Decides whether a daemon accepts a tables document offered by the platform or by a peer: accepted
+ * versions never go back. mt_acceptance_repair calls the store; nothing else blocks. Any thread. */
 #ifndef MEDLARTRACK_ACCEPTANCE_H
 #define MEDLARTRACK_ACCEPTANCE_H
 
@@ -9,28 +8,27 @@
 
 enum mt_acceptance
 {
-  MT_ACCEPTANCE_NEWER,  /* newer than what is held: put it in force */
-  MT_ACCEPTANCE_SAME,   /* what is held: it is current as of now */
-  MT_ACCEPTANCE_OLDER,  /* a stale read, a late peer or a restored store: keep what is held */
-  MT_ACCEPTANCE_FORKED, /* the version held with another id: keep what is held, tell the operators
-                         */
+  MT_ACCEPTANCE_NEWER,  /* newer than the held document: put it in force */
+  MT_ACCEPTANCE_SAME,   /* the held document: it is current as of now */
+  MT_ACCEPTANCE_OLDER,  /* stale read, outdated peer or restored store: keep the held one */
+  MT_ACCEPTANCE_FORKED, /* same version, other id: keep the held one, notify the operators */
 };
 
-/* held is NULL before the first tables. */
+/* held: the document in force; NULL if there is none yet. */
 enum mt_acceptance mt_acceptance_compare (const struct mt_tables *held,
                                           const struct mt_tables *offered);
 
 enum mt_repair
 {
-  MT_REPAIR_DONE,       /* the store holds the held document again */
-  MT_REPAIR_NOT_NEEDED, /* the second read showed no older value: the first was stale */
-  MT_REPAIR_CONFLICT,   /* another write came first; the watch will show it */
-  MT_REPAIR_FAILED,     /* the store does not answer, or not surely; the watch will show it */
+  MT_REPAIR_DONE,       /* the store has the held document again */
+  MT_REPAIR_NOT_NEEDED, /* the second read gave no older value: the first one was stale */
+  MT_REPAIR_CONFLICT,   /* another write came first; the watch will deliver it */
+  MT_REPAIR_FAILED,     /* no answer, or unknown result; the watch will deliver the value */
 };
 
-/* After a read that gave an older value or none: reads once more, and where that is older too,
- * writes the held document by compare-and-swap on the index of that second read. So no edit that
- * was made meanwhile is undone. */
+/* Repairs the store after a read returned an older document or none. Reads once more, and if that
+ * value is older too, writes the held document by compare-and-swap on the index of the second read,
+ * so that no edit made in the meantime is lost. */
 enum mt_repair
 mt_acceptance_repair (const struct mt_store *store, const struct mt_tables *held, GError **error);
 
--- a/include/medlartrack/workspaces.h
+++ b/include/medlartrack/workspaces.h
@@ -1,6 +1,6 @@
-/* Workspaces: who calls, by which API key, and how much may run for them at a time. Keys are kept
- * and compared as SHA-256 digests: no state dump, log or core file of a daemon holds one. A value:
- * filled by one thread, then read by any. */
+/* Workspaces: which API keys belong to which caller, and how much may run for the caller at a time.
+ * Keys are stored and compared as SHA-256 digests, so no state dump, log or core file of a daemon
+ * contains one. A list is filled by one thread and may then be read by any. */
 #ifndef MEDLARTRACK_WORKSPACES_H
 #define MEDLARTRACK_WORKSPACES_H
 
@@ -9,15 +9,15 @@
 
 #include <glib.h>
 
-/* Bytes of a key and of a workspace's name at most. */
+/* Maximum length of a key and of a workspace's name. */
 #define MT_WORKSPACE_MAX_KEY_BYTES  256
 #define MT_WORKSPACE_MAX_NAME_BYTES 64
 
 struct mt_workspace
 {
   char *name;
-  struct mt_resources quota; /* running at a time, in all pools together; 0 for no limit */
-  int64_t rate;              /* jobs a second that are its due; 0 for no limit */
+  struct mt_resources quota; /* resources in use at a time, in all pools together; 0 for no limit */
+  int64_t rate;              /* jobs per second that it is entitled to; 0 for no limit */
   unsigned n_keys;
 };
 
@@ -26,20 +26,20 @@
 struct mt_workspaces *mt_workspaces_create (void);
 void mt_workspaces_destroy (struct mt_workspaces *list);
 
-/* False with an error that names the workspace and the remedy: the name is missing, too long or
- * taken, or a limit is negative. */
+/* Returns false with an error that names the workspace and the remedy if the name is missing,
+ * invalid, too long or already used, or if a limit is negative. */
 bool mt_workspaces_add (struct mt_workspaces *list,
                         const char *name,
                         const struct mt_resources *quota,
                         int64_t rate,
                         GError **error);
-/* To the workspace added last. False with an error that never shows the key: it is empty, too long,
- * or another workspace has it. */
+/* Adds a key to the workspace added last. Returns false with an error if the key is empty, too long
+ * or belongs to another workspace; the error never contains the key. */
 bool mt_workspaces_add_key (struct mt_workspaces *list, const char *key, GError **error);
 
 unsigned mt_workspaces_count (const struct mt_workspaces *list);
 const struct mt_workspace *mt_workspaces_at (const struct mt_workspaces *list, unsigned index);
-/* NULL for a key that no workspace has. */
+/* Returns NULL for a key that belongs to no workspace. */
 const struct mt_workspace *mt_workspaces_by_key (const struct mt_workspaces *list, const char *key);
 
 #endif
--- a/tests/config/prop_acceptance.cpp
+++ b/tests/config/prop_acceptance.cpp
@@ -1,5 +1,6 @@
-/* Several daemons, operators' edits, stale reads and restored backups in any order: no daemon's
- * version goes back, and once the store is left alone the next edit is in force everywhere. */
+/* With several daemons, operators' edits, stale reads and restored backups in any order, no
+ * daemon's version goes back, and once the store is no longer changed otherwise, the next edit is
+ * put in force on all daemons. */
 #include <glib.h>
 #include <jansson.h>
 #include <rapidcheck.h>
@@ -20,7 +21,7 @@
 {
   struct fake_store *fake = fake_store_create (mt_clock_system ());
   const struct mt_store *store = fake_store_store (fake);
-  std::vector<std::string> past; /* every value that the store ever held */
+  std::vector<std::string> written; /* every document written to the store */
   struct mt_tables *held[DAEMONS] = {};
   unsigned edits = 0;
 
@@ -47,7 +48,8 @@
   return mt_tables_parse ({ text.data (), text.size () }, nullptr);
 }
 
-/* An operator's whole edit: read, and write by compare-and-swap what follows it. */
+/* A complete edit by an operator: reads the document and writes its successor by
+ * compare-and-swap. */
 static void
 edit (world &w)
 {
@@ -59,14 +61,14 @@
 
   if (w.store->ops->put (w.store->ctx, MT_TABLES_KEY, mt_str_from (text), value.index, nullptr)
       == MT_STORE_DONE)
-    w.past.emplace_back (text);
+    w.written.emplace_back (text);
   g_free (text);
   mt_tables_destroy (now);
   mt_tables_destroy (wanted);
   mt_store_value_clear (&value);
 }
 
-/* A daemon reads this text from the store or a peer. */
+/* A daemon gets this text from the store or from a peer. */
 static void
 offer (world &w, size_t daemon, const std::string &text, bool may_repair)
 {
@@ -104,16 +106,16 @@
 
   if (action == 0)
     edit (w);
-  else if (action == 1 && !w.past.empty ())
-    fake_store_force (w.fake, MT_TABLES_KEY, w.past[pick % w.past.size ()].c_str ());
-  else if (action == 2 && !w.past.empty ())
-    offer (w, daemon, w.past[pick % w.past.size ()], true);
+  else if (action == 1 && !w.written.empty ())
+    fake_store_force (w.fake, MT_TABLES_KEY, w.written[pick % w.written.size ()].c_str ());
+  else if (action == 2 && !w.written.empty ())
+    offer (w, daemon, w.written[pick % w.written.size ()], true);
   else
     watch (w, daemon);
 }
 
 static void
-settle (world &w)
+watch_all (world &w)
 {
   for (int round = 0; round < 3; round++)
     for (size_t d = 0; d < DAEMONS; d++)
@@ -130,9 +132,9 @@
 
     for (const auto &action : actions)
       step (w, action.first, action.second);
-    settle (w);
+    watch_all (w);
     edit (w);
-    settle (w);
+    watch_all (w);
     for (size_t d = 0; d < DAEMONS; d++)
       RC_ASSERT (mt_str_equal (w.held[d]->id, w.held[0]->id));
     RC_ASSERT (std::string (w.held[0]->id.data) == "edit-" + std::to_string (w.edits - 1));
--- a/tests/config/prop_tables.cpp
+++ b/tests/config/prop_tables.cpp
@@ -1,4 +1,4 @@
-/* Tables that parse format and parse back equal, with whatever names, weights and columns. */
+/* Valid tables are equal after formatting and parsing, for any names, weights and columns. */
 #include <glib.h>
 #include <jansson.h>
 #include <rapidcheck.h>
--- a/tests/config/test_acceptance.c
+++ b/tests/config/test_acceptance.c
@@ -26,7 +26,7 @@
 
 struct case_
 {
-  uint64_t held, offered; /* 0: nothing held */
+  uint64_t held, offered; /* versions; held 0: none held */
   const char *held_id, *offered_id;
   enum mt_acceptance verdict;
 };
@@ -52,7 +52,7 @@
     }
 }
 
-struct scene
+struct fixture
 {
   struct fake_store *fake;
   unsigned calls;
@@ -63,14 +63,14 @@
 static void
 before_call (void *ctx)
 {
-  struct scene *scene = ctx;
+  struct fixture *fixture = ctx;
 
-  if (++scene->calls == scene->act_before)
-    fake_store_force (scene->fake, MT_TABLES_KEY, scene->put);
+  if (++fixture->calls == fixture->act_before)
+    fake_store_force (fixture->fake, MT_TABLES_KEY, fixture->put);
 }
 
-/* A daemon holds version 7; the store stands at `before`; `put` lands before the daemon's call
- * number act_before. What the store holds afterwards has to be `after`. */
+/* A daemon holds version 7 and the store has `before`. `put` is written before the daemon's call
+ * number act_before. The store must have `after` in the end. */
 static void
 check_repair (const char *before,
               unsigned act_before,
@@ -78,27 +78,28 @@
               enum mt_repair result,
               const char *after)
 {
-  struct scene scene = { fake_store_create (mt_clock_system ()), 0, act_before, put };
-  const struct mt_store *store = fake_store_store (scene.fake);
+  struct fixture fixture = { fake_store_create (mt_clock_system ()), 0, act_before, put };
+  const struct mt_store *store = fake_store_store (fixture.fake);
   struct mt_tables *held = tables_of (7, "held");
   struct mt_store_value value;
 
   if (before != NULL)
-    fake_store_force (scene.fake, MT_TABLES_KEY, before);
-  fake_store_before_call (scene.fake, before_call, &scene);
+    fake_store_force (fixture.fake, MT_TABLES_KEY, before);
+  fake_store_before_call (fixture.fake, before_call, &fixture);
   assert_int_equal (mt_acceptance_repair (store, held, NULL), result);
-  fake_store_before_call (scene.fake, NULL, NULL);
+  fake_store_before_call (fixture.fake, NULL, NULL);
   assert_true (store->ops->get (store->ctx, MT_TABLES_KEY, &value, NULL));
   assert_non_null (strstr (value.data, after));
   mt_store_value_clear (&value);
   mt_tables_destroy (held);
-  fake_store_destroy (scene.fake);
+  fake_store_destroy (fixture.fake);
 }
 
-/* The platform comes back from a backup, or empty. Daemons that hold the newer tables put them
- * back, and only over what is older at that very moment. */
+/* Guards against reverted tables when the platform is restored from a backup or empty: daemons that
+ * hold newer tables write them back, but only over a value that is still older at the time of the
+ * write. */
 static void
-test_restored_store_is_written_forward (void **state)
+test_restored_store_is_repaired (void **state)
 {
   g_autofree char *older = text_of (5, "older");
   g_autofree char *newer = text_of (8, "newer");
@@ -106,11 +107,11 @@
 
   check_repair (older, 0, NULL, MT_REPAIR_DONE, "\"held\"");
   check_repair (NULL, 0, NULL, MT_REPAIR_DONE, "\"held\"");
-  /* The first read was stale: the second one shows it, nothing is written. */
+  /* The first read was stale: the second one shows that, and nothing is written. */
   check_repair (newer, 0, NULL, MT_REPAIR_NOT_NEEDED, "\"newer\"");
   check_repair (fork, 0, NULL, MT_REPAIR_NOT_NEEDED, "\"fork\"");
   check_repair ("not tables", 0, NULL, MT_REPAIR_NOT_NEEDED, "not tables");
-  /* An edit lands between the second read and the write: it stays. */
+  /* An edit is written between the second read and the write: it must be kept. */
   check_repair (older, 2, newer, MT_REPAIR_CONFLICT, "\"newer\"");
   check_repair (NULL, 2, newer, MT_REPAIR_CONFLICT, "\"newer\"");
 }
@@ -120,7 +121,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_acceptance_never_reverts),
-    cmocka_unit_test (test_restored_store_is_written_forward),
+    cmocka_unit_test (test_restored_store_is_repaired),
   };
 
   return cmocka_run_group_tests_name ("acceptance", tests, NULL, NULL);
--- a/tests/config/test_feed.c
+++ b/tests/config/test_feed.c
@@ -10,15 +10,15 @@
 
 #include <cmocka.h>
 
-#define POLL_US  1000
-#define PATIENCE 20000 /* polls before a test gives up */
+#define POLL_US   1000
+#define MAX_POLLS 20000 /* polls before a test fails */
 
-/* A feed's thread may be just about to look at its store when a test is over: scenes stay. */
-static GPtrArray *scenes;
+/* A feed's thread may still access its store after the test has ended, so fixtures are never
+ * freed. */
+static GPtrArray *fixtures;
 
-/* The fake store with a watch that really waits, until the value changes or the test releases it.
- */
-struct scene
+/* The fake store, with a watch that blocks until the value changes or the test releases it. */
+struct fixture
 {
   struct fake_store *fake;
   struct mt_store_ops ops;
@@ -26,7 +26,7 @@
   struct mt_view_holder *views;
   struct mt_feed *feed;
   gint released;
-  gint waiting; /* watches under way */
+  gint waiting; /* watches that are blocked */
 };
 
 static bool
@@ -37,27 +37,27 @@
        struct mt_store_value *out,
        GError **error)
 {
-  struct scene *scene = ctx;
-  const struct mt_store *store = fake_store_store (scene->fake);
+  struct fixture *fixture = ctx;
+  const struct mt_store *store = fake_store_store (fixture->fake);
   bool ok;
 
-  g_atomic_int_inc (&scene->waiting);
+  g_atomic_int_inc (&fixture->waiting);
   for (;;)
     {
       ok = store->ops->get (store->ctx, key, out, error);
-      if (!ok || out->index != index || g_atomic_int_get (&scene->released))
+      if (!ok || out->index != index || g_atomic_int_get (&fixture->released))
         break;
       mt_store_value_clear (out);
       g_usleep (POLL_US);
     }
-  g_atomic_int_add (&scene->waiting, -1);
+  g_atomic_int_add (&fixture->waiting, -1);
   return ok;
 }
 
 static bool
 get (void *ctx, const char *key, struct mt_store_value *out, GError **error)
 {
-  const struct mt_store *store = fake_store_store (((struct scene *) ctx)->fake);
+  const struct mt_store *store = fake_store_store (((struct fixture *) ctx)->fake);
 
   return store->ops->get (store->ctx, key, out, error);
 }
@@ -65,7 +65,7 @@
 static enum mt_store_write_result
 put (void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error)
 {
-  const struct mt_store *store = fake_store_store (((struct scene *) ctx)->fake);
+  const struct mt_store *store = fake_store_store (((struct fixture *) ctx)->fake);
 
   return store->ops->put (store->ctx, key, value, index, error);
 }
@@ -73,158 +73,158 @@
 static int
 setup (void **state)
 {
-  struct scene *scene = g_new0 (struct scene, 1);
+  struct fixture *fixture = g_new0 (struct fixture, 1);
   struct mt_feed_options options = { .clock = mt_clock_system () };
 
-  scene->fake = fake_store_create (mt_clock_system ());
-  scene->ops
+  fixture->fake = fake_store_create (mt_clock_system ());
+  fixture->ops
       = (struct mt_store_ops){ .name = "slow-watch", .get = get, .watch = watch, .put = put };
-  scene->store = (struct mt_store){ &scene->ops, scene };
-  scene->views = mt_view_holder_create (mt_clock_system ());
-  options.views = scene->views;
-  options.store = &scene->store;
-  scene->feed = mt_feed_create (&options);
-  *state = scene;
+  fixture->store = (struct mt_store){ &fixture->ops, fixture };
+  fixture->views = mt_view_holder_create (mt_clock_system ());
+  options.views = fixture->views;
+  options.store = &fixture->store;
+  fixture->feed = mt_feed_create (&options);
+  *state = fixture;
   return 0;
 }
 
 static void
-wait_for_no_watch (struct scene *scene)
+wait_for_no_watch (struct fixture *fixture)
 {
-  for (int i = 0; i < PATIENCE && g_atomic_int_get (&scene->waiting) > 0; i++)
+  for (int i = 0; i < MAX_POLLS && g_atomic_int_get (&fixture->waiting) > 0; i++)
     g_usleep (POLL_US);
-  assert_int_equal (g_atomic_int_get (&scene->waiting), 0);
+  assert_int_equal (g_atomic_int_get (&fixture->waiting), 0);
 }
 
 static int
 teardown (void **state)
 {
-  struct scene *scene = *state;
+  struct fixture *fixture = *state;
 
-  if (scene->feed != NULL)
-    mt_feed_destroy (scene->feed);
-  g_atomic_int_set (&scene->released, 1);
-  wait_for_no_watch (scene);
-  mt_view_holder_destroy (scene->views);
-  g_ptr_array_add (scenes, scene);
+  if (fixture->feed != NULL)
+    mt_feed_destroy (fixture->feed);
+  g_atomic_int_set (&fixture->released, 1);
+  wait_for_no_watch (fixture);
+  mt_view_holder_destroy (fixture->views);
+  g_ptr_array_add (fixtures, fixture);
   return 0;
 }
 
 static void
-force (struct scene *scene, unsigned version, const char *id)
+force (struct fixture *fixture, unsigned version, const char *id)
 {
   g_autofree char *text
       = g_strdup_printf ("{\"version\":%u,\"id\":\"%s\",\"routes\":[],\"pools\":[]}", version, id);
 
-  fake_store_force (scene->fake, MT_TABLES_KEY, text);
+  fake_store_force (fixture->fake, MT_TABLES_KEY, text);
 }
 
 static bool
-store_has (struct scene *scene, const char *part)
+store_has (struct fixture *fixture, const char *part)
 {
   struct mt_store_value value;
   bool has;
 
-  assert_true (get (scene, MT_TABLES_KEY, &value, NULL));
+  assert_true (get (fixture, MT_TABLES_KEY, &value, NULL));
   has = value.found && strstr (value.data, part) != NULL;
   mt_store_value_clear (&value);
   return has;
 }
 
 static void
-wait_for_version (struct scene *scene, uint64_t version)
+wait_for_version (struct fixture *fixture, uint64_t version)
 {
-  for (int i = 0; i < PATIENCE && mt_view_version (scene->views) != version; i++)
+  for (int i = 0; i < MAX_POLLS && mt_view_version (fixture->views) != version; i++)
     g_usleep (POLL_US);
-  assert_int_equal (mt_view_version (scene->views), version);
+  assert_int_equal (mt_view_version (fixture->views), version);
 }
 
 static void
-wait_for_stored (struct scene *scene, const char *part)
+wait_for_stored (struct fixture *fixture, const char *part)
 {
-  for (int i = 0; i < PATIENCE && !store_has (scene, part); i++)
+  for (int i = 0; i < MAX_POLLS && !store_has (fixture, part); i++)
     g_usleep (POLL_US);
-  assert_true (store_has (scene, part));
+  assert_true (store_has (fixture, part));
 }
 
-/* The value forced last has been through the feed: one read gave it, the next came after. */
+/* Waits until the feed has read the value forced last and then read again. */
 static void
-wait_until_seen (struct scene *scene)
+wait_until_seen (struct fixture *fixture)
 {
-  uint64_t reads = fake_store_reads (scene->fake);
+  uint64_t reads = fake_store_reads (fixture->fake);
 
-  for (int i = 0; i < PATIENCE && fake_store_reads (scene->fake) < reads + 3; i++)
+  for (int i = 0; i < MAX_POLLS && fake_store_reads (fixture->fake) < reads + 3; i++)
     g_usleep (POLL_US);
-  assert_true (fake_store_reads (scene->fake) >= reads + 3);
+  assert_true (fake_store_reads (fixture->fake) >= reads + 3);
 }
 
-/* The platform's store comes back from a backup, then empty: the daemon keeps serving version 7 and
- * puts it back both times. */
+/* Guards against reverted tables when the platform's store is restored from a backup, and then
+ * empty: the daemon keeps serving version 7 and writes it back both times. */
 static void
-test_feed_writes_a_restored_store_forward (void **state)
+test_feed_repairs_a_restored_store (void **state)
 {
-  struct scene *scene = *state;
+  struct fixture *fixture = *state;
 
-  force (scene, 7, "seven");
-  wait_for_version (scene, 7);
-  force (scene, 5, "five");
-  wait_for_stored (scene, "seven");
-  fake_store_force (scene->fake, MT_TABLES_KEY, NULL);
-  wait_for_stored (scene, "seven");
-  assert_int_equal (mt_view_version (scene->views), 7);
-  force (scene, 8, "eight");
-  wait_for_version (scene, 8);
+  force (fixture, 7, "seven");
+  wait_for_version (fixture, 7);
+  force (fixture, 5, "five");
+  wait_for_stored (fixture, "seven");
+  fake_store_force (fixture->fake, MT_TABLES_KEY, NULL);
+  wait_for_stored (fixture, "seven");
+  assert_int_equal (mt_view_version (fixture->views), 7);
+  force (fixture, 8, "eight");
+  wait_for_version (fixture, 8);
 }
 
-/* Another document turns up under the version in force: it is neither taken nor written over. */
+/* Guards against accepting or overwriting another document that has the version in force. */
 static void
-test_feed_keeps_what_it_holds_on_a_fork (void **state)
+test_feed_keeps_held_tables_on_a_fork (void **state)
 {
-  struct scene *scene = *state;
+  struct fixture *fixture = *state;
   const struct mt_tables *held;
 
-  force (scene, 7, "seven");
-  wait_for_version (scene, 7);
-  force (scene, 7, "other");
-  wait_until_seen (scene);
-  assert_true (store_has (scene, "other"));
-  held = mt_view_begin (scene->views);
+  force (fixture, 7, "seven");
+  wait_for_version (fixture, 7);
+  force (fixture, 7, "other");
+  wait_until_seen (fixture);
+  assert_true (store_has (fixture, "other"));
+  held = mt_view_begin (fixture->views);
   assert_string_equal (held->id.data, "seven");
   mt_view_end ();
-  force (scene, 8, "eight");
-  wait_for_version (scene, 8);
+  force (fixture, 8, "eight");
+  wait_for_version (fixture, 8);
 }
 
-/* SIGTERM comes while the daemon waits in a watch that won't end: the stop goes on at once, and
- * what the watch brings later touches nothing. */
+/* Guards against a stop that waits for a blocked watch: it must finish at once, and the watch's
+ * later result must have no effect. */
 static void
 test_feed_stops_while_a_watch_waits (void **state)
 {
-  struct scene *scene = *state;
+  struct fixture *fixture = *state;
 
-  force (scene, 7, "seven");
-  wait_for_version (scene, 7);
-  for (int i = 0; i < PATIENCE && g_atomic_int_get (&scene->waiting) == 0; i++)
+  force (fixture, 7, "seven");
+  wait_for_version (fixture, 7);
+  for (int i = 0; i < MAX_POLLS && g_atomic_int_get (&fixture->waiting) == 0; i++)
     g_usleep (POLL_US);
-  assert_int_equal (g_atomic_int_get (&scene->waiting), 1);
-  mt_feed_destroy (scene->feed);
-  scene->feed = NULL;
-  assert_int_equal (g_atomic_int_get (&scene->waiting), 1);
-  force (scene, 8, "eight");
-  wait_for_no_watch (scene);
-  assert_int_equal (mt_view_version (scene->views), 7);
+  assert_int_equal (g_atomic_int_get (&fixture->waiting), 1);
+  mt_feed_destroy (fixture->feed);
+  fixture->feed = NULL;
+  assert_int_equal (g_atomic_int_get (&fixture->waiting), 1);
+  force (fixture, 8, "eight");
+  wait_for_no_watch (fixture);
+  assert_int_equal (mt_view_version (fixture->views), 7);
 }
 
-/* The platform is down when the daemon starts and comes back with tables. */
+/* The platform is down when the daemon starts, and then comes back with tables. */
 static void
-test_feed_takes_tables_after_an_outage (void **state)
+test_feed_accepts_tables_after_an_outage (void **state)
 {
-  struct scene *scene = *state;
+  struct fixture *fixture = *state;
 
-  fake_store_set_down (scene->fake, true);
-  force (scene, 3, "three");
-  fake_store_set_down (scene->fake, false);
-  wait_for_version (scene, 3);
+  fake_store_set_down (fixture->fake, true);
+  force (fixture, 3, "three");
+  fake_store_set_down (fixture->fake, false);
+  wait_for_version (fixture, 3);
 }
 
 int
@@ -232,12 +232,12 @@
 {
 #define FEED_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    FEED_TEST (test_feed_writes_a_restored_store_forward),
-    FEED_TEST (test_feed_keeps_what_it_holds_on_a_fork),
+    FEED_TEST (test_feed_repairs_a_restored_store),
+    FEED_TEST (test_feed_keeps_held_tables_on_a_fork),
     FEED_TEST (test_feed_stops_while_a_watch_waits),
-    FEED_TEST (test_feed_takes_tables_after_an_outage),
+    FEED_TEST (test_feed_accepts_tables_after_an_outage),
   };
 
-  scenes = g_ptr_array_new ();
+  fixtures = g_ptr_array_new ();
   return cmocka_run_group_tests_name ("feed", tests, NULL, NULL);
 }
--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -17,11 +17,11 @@
 struct bad_input
 {
   const char *json;
-  const char *told[4]; /* key, what was found, range and remedy */
+  const char *expected[4]; /* key, value found, range and remedy */
 };
 
 static const struct bad_input bad_inputs[] = {
-  { "", { "settings", "line 1", "mend the JSON" } },
+  { "", { "settings", "line 1", "fix the JSON" } },
   { "[]", { "settings", "write an object" } },
   { "{}", { "settings, name", "found nothing", "it is required" } },
   { WITH ("\"name\":\"d2\""), { "line 1", "duplicate" } },
@@ -41,7 +41,7 @@
   { WITH ("\"limits\":{\"connections\":1.5}"), { "connections", "found 1.5", "whole number" } },
   { WITH ("\"limits\":{\"idle_s\":\"30\"}"), { "idle_s", "\"30\"", "from 1 to 3600" } },
   { WITH ("\"limits\":{\"body_bytes\":-1}"), { "body_bytes", "found -1", "from 0 to 64000000" } },
-  { WITH ("\"limits\":{\"platform_ms\":99999999999999999999}"), { "line 1", "mend the JSON" } },
+  { WITH ("\"limits\":{\"platform_ms\":99999999999999999999}"), { "line 1", "fix the JSON" } },
   { WITH ("\"limits\":{\"conections\":7}"), { "conections", "did you mean \"connections\"?" } },
   { "{\"name\":\"d 1\",\"zone\":\"west\",\"listen\":\"127.0.0.1:0\"}",
     { "settings, name", "\"d 1\"", "letters, digits" } },
@@ -61,7 +61,7 @@
 };
 
 static void
-test_bad_settings_are_refused_by_name (void **state)
+test_bad_settings_are_rejected_with_their_key (void **state)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (bad_inputs); i++)
     {
@@ -70,9 +70,9 @@
 
       if (settings != NULL)
         fail_msg ("taken: %s", bad_inputs[i].json);
-      for (size_t k = 0; k < 4 && bad_inputs[i].told[k] != NULL; k++)
-        if (strstr (error->message, bad_inputs[i].told[k]) == NULL)
-          fail_msg ("\"%s\" is not in: %s", bad_inputs[i].told[k], error->message);
+      for (size_t k = 0; k < 4 && bad_inputs[i].expected[k] != NULL; k++)
+        if (strstr (error->message, bad_inputs[i].expected[k]) == NULL)
+          fail_msg ("\"%s\" is not in: %s", bad_inputs[i].expected[k], error->message);
     }
 }
 
@@ -95,7 +95,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_bad_settings_are_refused_by_name),
+    cmocka_unit_test (test_bad_settings_are_rejected_with_their_key),
     cmocka_unit_test (test_settings_have_defaults),
   };
 
--- a/tests/config/test_tables.c
+++ b/tests/config/test_tables.c
@@ -25,18 +25,18 @@
 struct bad_input
 {
   const char *json;
-  const char *told[5]; /* what the message has to name */
+  const char *expected[5]; /* texts that the error message must contain */
 };
 
-/* Operators copy and edit by hand; each slip is refused whole, with row, column, value and remedy.
- */
+/* Guards against accepting mistakes of an edit by hand: the whole document must be rejected, with
+ * the row, column, value and remedy in the error. */
 static const struct bad_input bad_inputs[] = {
   { TABLES (ROUTE ("r", "/", "quots", ""), POOL ("quotes", "", THREE)),
     { "table routes", "row \"r\"", "column pool", "\"quots\"", "did you mean \"quotes\"?" } },
   { TABLES (ROUTE ("r", "/", "zzz", ""), POOL ("quotes", "", THREE)), { "\"zzz\"", "add it" } },
-  { TABLES ("", POOL ("p", "", THREE) "," POOL ("p", "", "")), { "row \"p\"", "stands twice" } },
+  { TABLES ("", POOL ("p", "", THREE) "," POOL ("p", "", "")), { "row \"p\"", "is used twice" } },
   { TABLES (ROUTE ("r", "/a", "p", "") "," ROUTE ("r", "/b", "p", ""), POOL ("p", "", THREE)),
-    { "table routes", "row \"r\"", "stands twice" } },
+    { "table routes", "row \"r\"", "is used twice" } },
   { TABLES ("", POOL ("p", "", THREE) "," POOL ("q", "", INSTANCE ("a", "9", "west", ""))),
     { "row \"q\"", "instances.name", "\"a\"", "row \"p\" has it", "exactly one pool" } },
   { TABLES ("", POOL ("p", "", THREE) "," POOL ("q", "", INSTANCE ("z", "1", "west", ""))),
@@ -65,10 +65,11 @@
   { TABLES (ROUTE ("r", "/a?b", "p", ""), POOL ("p", "", THREE)), { "path", "leave out" } },
   { TABLES (ROUTE ("r", "/a", "p", ",\"audience_header\":\"X Y\""), POOL ("p", "", THREE)),
     { "audience_header", "name of an HTTP header" } },
-  { TABLES (ROUTE ("r", "/a", "p", ""), POOL ("p", "", "")), { "no instance that stays" } },
+  { TABLES (ROUTE ("r", "/a", "p", ""), POOL ("p", "", "")),
+    { "no instance that is not leaving" } },
   { TABLES (ROUTE ("r", "/a", "p", ""),
             POOL ("p", ",\"min_instances\":0", INSTANCE ("a", "1", "west", LEAVES))),
-    { "no instance that stays" } },
+    { "no instance that is not leaving" } },
   { TABLES ("", POOL ("p", ",\"spare\":true", THREE) "," POOL ("q", ",\"spare\":true", "")),
     { "row \"q\"", "column spare", "limit 1 spare pool", "row \"p\"" } },
   { TABLES ("", POOL ("p", ",\"min_instances\":3,\"max_instances\":2", THREE)),
@@ -107,7 +108,7 @@
 };
 
 static void
-test_bad_inputs_are_refused_by_name (void **state)
+test_bad_tables_are_rejected_with_their_location (void **state)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (bad_inputs); i++)
     {
@@ -116,9 +117,9 @@
 
       if (tables != NULL)
         fail_msg ("taken: %s", bad_inputs[i].json);
-      for (size_t k = 0; k < 5 && bad_inputs[i].told[k] != NULL; k++)
-        if (strstr (error->message, bad_inputs[i].told[k]) == NULL)
-          fail_msg ("\"%s\" is not in: %s", bad_inputs[i].told[k], error->message);
+      for (size_t k = 0; k < 5 && bad_inputs[i].expected[k] != NULL; k++)
+        if (strstr (error->message, bad_inputs[i].expected[k]) == NULL)
+          fail_msg ("\"%s\" is not in: %s", bad_inputs[i].expected[k], error->message);
     }
 }
 
@@ -133,9 +134,10 @@
   return tables;
 }
 
-/* A file of 900 KB that leaves every default out is more than a megabyte once accepted. */
+/* Guards against accepting a document that the platform can't store: 900 KB without defaults become
+ * more than 1 MB with them. */
 static void
-test_size_counts_the_defaults (void **state)
+test_size_limit_includes_defaults (void **state)
 {
   g_autoptr (GString) json = g_string_new ("{\"routes\":[],\"pools\":[{\"pool\":\"p\",\"service\":"
                                            "\"s\",\"max_unavailable\":10000,\"instances\":[");
@@ -152,9 +154,9 @@
   assert_non_null (strstr (error->message, "limit 1000000"));
 }
 
-/* The spare pool lends: a floor above the pool's own instances is met from it. */
+/* min_instances above a pool's own number of instances is met by instances of the spare pool. */
 static void
-test_spare_instances_count_for_floors (void **state)
+test_spare_instances_count_for_min_instances (void **state)
 {
   struct mt_tables *tables = parse (TABLES (
       "", POOL ("p", ",\"min_instances\":3,\"wave\":{\"id\":\"w\"}", THREE) "," POOL (
@@ -166,8 +168,8 @@
   mt_tables_destroy (tables);
 }
 
-/* The operator takes the last instance of a pool out of one data centre, with others elsewhere: the
- * table alone looks whole, but callers of that data centre would all be refused. */
+/* Guards against an edit that removes the last instance of a pool from one data centre while others
+ * have some: each table is valid, but all callers in that data centre would be refused. */
 static void
 test_change_may_not_empty_a_data_centre (void **state)
 {
@@ -208,10 +210,10 @@
   mt_tables_destroy (after);
 }
 
-/* Each acceptance notes its edit in the document, so that a later operator can be told what changed
- * since the version that he started from, without a call more to the platform. */
+/* Each accepted edit is recorded in the document, so that a later operator can be shown the changes
+ * since the version that their edit started from, without another call to the platform. */
 static void
-test_log_tells_what_changed_since (void **state)
+test_change_log_has_edits_since_a_version (void **state)
 {
   struct mt_tables *now = parse (TABLES ("", POOL ("p0", "", "")));
   g_autofree char *since = NULL;
@@ -243,12 +245,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_bad_inputs_are_refused_by_name),
-    cmocka_unit_test (test_size_counts_the_defaults),
-    cmocka_unit_test (test_spare_instances_count_for_floors),
+    cmocka_unit_test (test_bad_tables_are_rejected_with_their_location),
+    cmocka_unit_test (test_size_limit_includes_defaults),
+    cmocka_unit_test (test_spare_instances_count_for_min_instances),
     cmocka_unit_test (test_change_may_not_empty_a_data_centre),
     cmocka_unit_test (test_diff_names_row_and_column),
-    cmocka_unit_test (test_log_tells_what_changed_since),
+    cmocka_unit_test (test_change_log_has_edits_since_a_version),
   };
 
   return cmocka_run_group_tests_name ("tables", tests, NULL, NULL);
--- a/tests/config/test_tables_jobs.c
+++ b/tests/config/test_tables_jobs.c
@@ -22,7 +22,7 @@
 }
 
 static void
-assert_refused (const char *teams, const char *jobs, const char *column)
+assert_rejected (const char *teams, const char *jobs, const char *column)
 {
   g_autoptr (GError) error = NULL;
 
@@ -48,24 +48,24 @@
 }
 
 static void
-test_job_rows_with_slips_are_refused (void **state)
+test_invalid_job_rows_are_rejected (void **state)
 {
   const char *team = "{\"team\":\"t\"}";
 
-  assert_refused (team, "{\"job\":\"j\",\"team\":\"other\",\"zone\":\"w\"}", "jobs.team");
-  assert_refused ("{\"team\":\"t\"},{\"team\":\"t\"}", "", "teams.team");
-  assert_refused (team,
-                  "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\"},"
-                  "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\"}",
-                  "jobs.job");
-  assert_refused (team, "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\",\"urgency\":\"now\"}",
-                  "urgency");
-  assert_refused (team, "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\",\"cpu_milli\":0}",
-                  "cpu_milli");
+  assert_rejected (team, "{\"job\":\"j\",\"team\":\"other\",\"zone\":\"w\"}", "jobs.team");
+  assert_rejected ("{\"team\":\"t\"},{\"team\":\"t\"}", "", "teams.team");
+  assert_rejected (team,
+                   "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\"},"
+                   "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\"}",
+                   "jobs.job");
+  assert_rejected (team, "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\",\"urgency\":\"now\"}",
+                   "urgency");
+  assert_rejected (team, "{\"job\":\"j\",\"team\":\"t\",\"zone\":\"w\",\"cpu_milli\":0}",
+                   "cpu_milli");
 }
 
-/* A cancellation is an edit of one job's column: it must count as a change, or `apply` would write
- * nothing and the job would run on. */
+/* Guards against a cancellation that is not treated as a change: `apply` would write nothing and
+ * the job would keep running. */
 static void
 test_cancelled_job_is_a_change (void **state)
 {
@@ -84,7 +84,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_job_rows_are_read_with_defaults),
-    cmocka_unit_test (test_job_rows_with_slips_are_refused),
+    cmocka_unit_test (test_invalid_job_rows_are_rejected),
     cmocka_unit_test (test_cancelled_job_is_a_change),
   };
 
--- a/tests/config/test_workspaces.c
+++ b/tests/config/test_workspaces.c
@@ -23,7 +23,7 @@
 }
 
 static void
-test_each_key_leads_to_its_workspace (void **state)
+test_key_finds_its_workspace (void **state)
 {
   struct mt_workspaces *list = two_workspaces ();
 
@@ -36,9 +36,9 @@
   mt_workspaces_destroy (list);
 }
 
-/* Guards against a caller who is let in with a key that is nobody's. */
+/* Guards against admitting a caller whose key belongs to no workspace. */
 static void
-test_what_is_no_key_leads_nowhere (void **state)
+test_unknown_key_finds_no_workspace (void **state)
 {
   struct mt_workspaces *list = two_workspaces ();
   g_autofree char *huge = g_strnfill (1000000, 'k');
@@ -52,9 +52,9 @@
   mt_workspaces_destroy (list);
 }
 
-/* Guards against a job that is reckoned to the wrong workspace, and a key that an error shows. */
+/* Guards against jobs charged to the wrong workspace, and against keys shown in errors. */
 static void
-test_key_of_two_workspaces_is_refused_and_not_shown (void **state)
+test_key_of_two_workspaces_is_rejected_and_not_shown (void **state)
 {
   struct mt_workspaces *list = two_workspaces ();
   g_autoptr (GError) error = NULL;
@@ -96,9 +96,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_each_key_leads_to_its_workspace),
-    cmocka_unit_test (test_what_is_no_key_leads_nowhere),
-    cmocka_unit_test (test_key_of_two_workspaces_is_refused_and_not_shown),
+    cmocka_unit_test (test_key_finds_its_workspace),
+    cmocka_unit_test (test_unknown_key_finds_no_workspace),
+    cmocka_unit_test (test_key_of_two_workspaces_is_rejected_and_not_shown),
     cmocka_unit_test (test_bad_rows_name_the_workspace_and_the_remedy),
   };
 
