--- a/core/base/breaker.c
+++ b/core/base/breaker.c
@@ -6,13 +6,13 @@
 {
   struct mt_breaker_options options;
   struct mt_store store;
-  GMutex lock; /* guards all below */
+  GMutex lock; /* protects the fields below */
   GRand *rand;
   unsigned failures; /* in a row */
   bool open;
-  bool probing; /* one call is under way to see whether the service is back */
+  bool probing; /* a probe of the service is in flight */
   int64_t pause_us;
-  int64_t probe_us; /* no probe before */
+  int64_t next_probe_us; /* earliest time of the next probe */
   struct mt_breaker_counts counts;
 };
 
@@ -24,7 +24,7 @@
 };
 
 static void
-count (struct mt_breaker *breaker, enum call_kind kind)
+count_call (struct mt_breaker *breaker, enum call_kind kind)
 {
   switch (kind)
     {
@@ -40,47 +40,48 @@
     }
 }
 
-/* Whether the call may be made; probe is set where it is the one that tries the service. */
+/* Returns whether the call is allowed. Sets probe if it is the one that tests the service while the
+ * breaker is open. */
 static bool
-enter (struct mt_breaker *breaker, enum call_kind kind, bool *probe, GError **error)
+begin_call (struct mt_breaker *breaker, enum call_kind kind, bool *probe, GError **error)
 {
   int64_t now = mt_clock_now (breaker->options.clock);
-  bool may;
+  bool allowed;
 
   g_mutex_lock (&breaker->lock);
-  *probe = breaker->open && !breaker->probing && now >= breaker->probe_us;
-  may = !breaker->open || *probe;
+  *probe = breaker->open && !breaker->probing && now >= breaker->next_probe_us;
+  allowed = !breaker->open || *probe;
   if (*probe)
     breaker->probing = true;
-  if (may)
-    count (breaker, *probe && kind == CALL_WATCH ? CALL_READ : kind);
+  if (allowed)
+    count_call (breaker, *probe && kind == CALL_WATCH ? CALL_READ : kind);
   else
     breaker->counts.refused++;
   g_mutex_unlock (&breaker->lock);
-  if (!may)
+  if (!allowed)
     g_set_error_literal (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
-                         "the platform's service is down; it is tried again within seconds");
-  return may;
+                         "the platform's service is down; the next attempt is made within seconds");
+  return allowed;
 }
 
-/* Each pause is drawn between the least and three times the last one: the daemons' probes drift
- * apart, whatever moment they all lost the service at. */
+/* Each pause is random between the shortest pause and three times the last one, so the probes of
+ * the daemons spread out, whenever they lost the service. */
 static void
-open_for_a_while (struct mt_breaker *breaker)
+open_breaker (struct mt_breaker *breaker)
 {
-  int64_t first = breaker->options.min_pause_us;
-  double most = (double) MAX (breaker->pause_us * 3, first * 2);
+  int64_t min_pause = breaker->options.min_pause_us;
+  double max_pause = (double) MAX (breaker->pause_us * 3, min_pause * 2);
 
   if (!breaker->open)
     breaker->counts.opened++;
   breaker->open = true;
-  breaker->pause_us = (int64_t) g_rand_double_range (breaker->rand, (double) first, most);
+  breaker->pause_us = (int64_t) g_rand_double_range (breaker->rand, (double) min_pause, max_pause);
   breaker->pause_us = MIN (breaker->pause_us, breaker->options.max_pause_us);
-  breaker->probe_us = mt_clock_now (breaker->options.clock) + breaker->pause_us;
+  breaker->next_probe_us = mt_clock_now (breaker->options.clock) + breaker->pause_us;
 }
 
 static void
-leave (struct mt_breaker *breaker, bool probe, bool ok)
+end_call (struct mt_breaker *breaker, bool probe, bool ok)
 {
   g_mutex_lock (&breaker->lock);
   if (probe)
@@ -92,12 +93,12 @@
       breaker->pause_us = 0;
     }
   else if (probe || (!breaker->open && breaker->failures >= breaker->options.failure_threshold))
-    open_for_a_while (breaker);
+    open_breaker (breaker);
   g_mutex_unlock (&breaker->lock);
 }
 
 static bool
-put_is_answered (enum mt_store_write_result put)
+write_was_answered (enum mt_store_write_result put)
 {
   return put == MT_STORE_DONE || put == MT_STORE_CONFLICT;
 }
@@ -111,14 +112,15 @@
   bool ok;
 
   *out = (struct mt_store_value){ 0 };
-  if (!enter (breaker, CALL_READ, &probe, error))
+  if (!begin_call (breaker, CALL_READ, &probe, error))
     return false;
   ok = inner->ops->get (inner->ctx, key, out, error);
-  leave (breaker, probe, ok);
+  end_call (breaker, probe, ok);
   return ok;
 }
 
-/* A watch as the probe would hold all others off for as long as it waits: it is made a read. */
+/* As a probe, a watch would block all other calls for as long as it waits, so it is replaced by a
+ * read. */
 static bool
 breaker_watch (void *ctx,
                const char *key,
@@ -133,11 +135,11 @@
   bool ok;
 
   *out = (struct mt_store_value){ 0 };
-  if (!enter (breaker, CALL_WATCH, &probe, error))
+  if (!begin_call (breaker, CALL_WATCH, &probe, error))
     return false;
   ok = probe ? inner->ops->get (inner->ctx, key, out, error)
              : inner->ops->watch (inner->ctx, key, index, wait_us, out, error);
-  leave (breaker, probe, ok);
+  end_call (breaker, probe, ok);
   return ok;
 }
 
@@ -150,10 +152,10 @@
   bool ok;
 
   *out = NULL;
-  if (!enter (breaker, CALL_READ, &probe, error))
+  if (!begin_call (breaker, CALL_READ, &probe, error))
     return false;
   ok = inner->ops->list (inner->ctx, prefix, out, error);
-  leave (breaker, probe, ok);
+  end_call (breaker, probe, ok);
   return ok;
 }
 
@@ -165,10 +167,10 @@
   enum mt_store_write_result put;
   bool probe;
 
-  if (!enter (breaker, CALL_WRITE, &probe, error))
+  if (!begin_call (breaker, CALL_WRITE, &probe, error))
     return MT_STORE_FAILED;
   put = inner->ops->put (inner->ctx, key, value, index, error);
-  leave (breaker, probe, put_is_answered (put));
+  end_call (breaker, probe, write_was_answered (put));
   return put;
 }
 
@@ -180,10 +182,10 @@
   enum mt_store_write_result put;
   bool probe;
 
-  if (!enter (breaker, CALL_WRITE, &probe, error))
+  if (!begin_call (breaker, CALL_WRITE, &probe, error))
     return MT_STORE_FAILED;
   put = inner->ops->remove (inner->ctx, prefix, error);
-  leave (breaker, probe, put_is_answered (put));
+  end_call (breaker, probe, write_was_answered (put));
   return put;
 }
 
@@ -196,10 +198,10 @@
   bool ok;
 
   *id = NULL;
-  if (!enter (breaker, CALL_WRITE, &probe, error))
+  if (!begin_call (breaker, CALL_WRITE, &probe, error))
     return false;
   ok = inner->ops->lease_grant (inner->ctx, ttl_s, id, error);
-  leave (breaker, probe, ok);
+  end_call (breaker, probe, ok);
   return ok;
 }
 
@@ -212,10 +214,10 @@
   bool probe;
   bool ok;
 
-  if (!enter (breaker, CALL_WRITE, &probe, error))
+  if (!begin_call (breaker, CALL_WRITE, &probe, error))
     return false;
   ok = inner->ops->lease_renew (inner->ctx, id, &local);
-  leave (breaker, probe, ok || g_error_matches (local, MT_ERROR, MT_ERROR_STALE));
+  end_call (breaker, probe, ok || g_error_matches (local, MT_ERROR, MT_ERROR_STALE));
   if (local != NULL)
     g_propagate_error (error, local);
   return ok;
@@ -228,12 +230,12 @@
   const struct mt_store *inner = breaker->options.inner;
   bool probe;
 
-  /* Never as the probe: it does not tell whether it was answered. */
-  if (mt_breaker_is_open (breaker) || !enter (breaker, CALL_WRITE, &probe, NULL))
+  /* Never used as the probe, because lease_end does not return whether it was answered. */
+  if (mt_breaker_is_open (breaker) || !begin_call (breaker, CALL_WRITE, &probe, NULL))
     return;
   inner->ops->lease_end (inner->ctx, id);
   if (probe)
-    leave (breaker, probe, false);
+    end_call (breaker, probe, false);
 }
 
 static enum mt_store_write_result
@@ -244,10 +246,10 @@
   enum mt_store_write_result put;
   bool probe;
 
-  if (!enter (breaker, CALL_WRITE, &probe, error))
+  if (!begin_call (breaker, CALL_WRITE, &probe, error))
     return MT_STORE_FAILED;
   put = inner->ops->acquire (inner->ctx, key, value, lease, error);
-  leave (breaker, probe, put_is_answered (put));
+  end_call (breaker, probe, write_was_answered (put));
   return put;
 }
 
--- a/core/base/clock.c
+++ b/core/base/clock.c
@@ -30,8 +30,8 @@
   return (int64_t) ts.tv_sec * MT_SECOND + ts.tv_nsec / 1000;
 }
 
-/* CLOCK_MONOTONIC stands still while a machine is suspended: a lease would look alive on waking
- * though it lapsed at the platform. CLOCK_BOOTTIME counts the suspension. */
+/* CLOCK_MONOTONIC stops while a machine is suspended: after resuming, a lease would look valid
+ * though it has expired at the platform. CLOCK_BOOTTIME includes the suspension. */
 static int64_t
 system_now (void *ctx)
 {
@@ -69,7 +69,7 @@
 
 static const struct mt_clock_ops manual_ops = {
   .name = "manual",
-  .description = "stands still until advanced; wall time equals its own time",
+  .description = "changes only when advanced; wall time equals monotonic time",
   .now_us = manual_now,
   .wall_us = manual_now,
 };
--- a/core/base/log.c
+++ b/core/base/log.c
@@ -21,8 +21,8 @@
   return catalogue;
 }
 
-/* Set once by mt_log_setup before threads start, read-only from then on: GLib passes one pointer to
- * its writer for the whole process. */
+/* Set once by mt_log_setup before threads start, then read-only: GLib passes one pointer to its
+ * writer for the whole process. */
 struct writer
 {
   enum mt_log_format format;
@@ -32,14 +32,14 @@
 
 struct line
 {
-  char when[40];
+  char time_text[40];
   GLogLevelFlags level;
   const char *event;
   const char *message;
   const char *detail;
 };
 
-static const GLogLevelFlags least_severe[] = {
+static const GLogLevelFlags min_severity[] = {
   [MT_LOG_DEBUG] = G_LOG_LEVEL_DEBUG,
   [MT_LOG_INFO] = G_LOG_LEVEL_INFO,
   [MT_LOG_WARNING] = G_LOG_LEVEL_WARNING,
@@ -80,10 +80,11 @@
   snprintf (out + n, size - n, ".%03ldZ", ts.tv_nsec / 1000000);
 }
 
-/* Valid UTF-8 without control characters: a detail quotes what others sent, and a line break in it
- * would forge an event of its own. Bytes that are cut or not UTF-8 become U+FFFD. */
+/* Returns a copy that is valid UTF-8 without control characters: a detail can quote text from
+ * others, and a line break in it would forge another event. Invalid and truncated sequences become
+ * U+FFFD. */
 static char *
-clean_text (const char *text)
+sanitize_text (const char *text)
 {
   char *clean = g_utf8_make_valid (text, -1);
 
@@ -96,7 +97,7 @@
 static char *
 format_json (const struct writer *w, const struct line *line)
 {
-  json_t *root = json_pack ("{ss ss ss ss ss ss}", "time", line->when, "level",
+  json_t *root = json_pack ("{ss ss ss ss ss ss}", "time", line->time_text, "level",
                             level_name (line->level), "process", w->process, "event", line->event,
                             "message", line->message, "detail", line->detail);
   char *text = json_dumps (root, JSON_COMPACT);
@@ -110,7 +111,7 @@
 static char *
 format_human (const struct writer *w, const struct line *line)
 {
-  return g_strdup_printf ("%s %s %s [%s] %s%s%s\n", line->when, w->process,
+  return g_strdup_printf ("%s %s %s [%s] %s%s%s\n", line->time_text, w->process,
                           level_name (line->level), line->event[0] != '\0' ? line->event : "-",
                           line->message, line->detail[0] != '\0' ? ": " : "", line->detail);
 }
@@ -119,16 +120,16 @@
 write_line (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
 {
   const struct writer *w = data;
-  g_autofree char *message = clean_text (find_field (fields, n, "MESSAGE"));
-  g_autofree char *event = clean_text (find_field (fields, n, "MT_EVENT"));
-  g_autofree char *detail = clean_text (find_field (fields, n, "MT_DETAIL"));
+  g_autofree char *message = sanitize_text (find_field (fields, n, "MESSAGE"));
+  g_autofree char *event = sanitize_text (find_field (fields, n, "MT_EVENT"));
+  g_autofree char *detail = sanitize_text (find_field (fields, n, "MT_DETAIL"));
   struct line line = { .level = level, .event = event, .message = message, .detail = detail };
   g_autofree char *text = NULL;
 
-  /* GLib's flags grow as the severity falls. */
-  if ((level & G_LOG_LEVEL_MASK) > least_severe[w->level])
+  /* GLib's flag values grow as severity falls. */
+  if ((level & G_LOG_LEVEL_MASK) > min_severity[w->level])
     return G_LOG_WRITER_HANDLED;
-  format_time (line.when, sizeof line.when);
+  format_time (line.time_text, sizeof line.time_text);
   text = w->format == MT_LOG_JSON ? format_json (w, &line) : format_human (w, &line);
   fputs (text, stderr);
   return G_LOG_WRITER_HANDLED;
@@ -138,7 +139,7 @@
 mt_log_setup (enum mt_log_format format, enum mt_log_level level, const char *process_name)
 {
   struct writer *w = g_new0 (struct writer, 1);
-  g_autofree char *name = clean_text (process_name);
+  g_autofree char *name = sanitize_text (process_name);
 
   w->format = format;
   w->level = level;
--- a/core/base/pack.c
+++ b/core/base/pack.c
@@ -5,20 +5,20 @@
 #include <limits.h>
 #include <stdint.h>
 
-#define CODED_FIRST 0xc0 /* first of the codes whose shape the table below gives */
-#define CODED_LAST  0xdf
+#define FIRST_TABLE_CODE 0xc0 /* first code that is looked up in header_formats */
+#define LAST_TABLE_CODE  0xdf
 
-/* What follows a code byte: a count of count_bytes, then fixed bytes, then either count bytes of
- * payload or count times children objects. */
-struct shape
+/* Format of the bytes after a code byte: a count of count_bytes bytes, then fixed_bytes bytes, then
+ * either count bytes of payload or count times children objects. */
+struct header_format
 {
   unsigned char count_bytes;
-  unsigned char fixed;
+  unsigned char fixed_bytes;
   unsigned char children;
   bool invalid;
 };
 
-static const struct shape shapes[CODED_LAST - CODED_FIRST + 1] = {
+static const struct header_format header_formats[LAST_TABLE_CODE - FIRST_TABLE_CODE + 1] = {
   { 0, 0, 0, false },  { 0, 0, 0, true },  { 0, 0, 0, false }, { 0, 0, 0, false }, /* nil, bool */
   { 1, 0, 0, false },  { 2, 0, 0, false }, { 4, 0, 0, false },                     /* bin */
   { 1, 1, 0, false },  { 2, 1, 0, false }, { 4, 1, 0, false },                     /* ext */
@@ -31,65 +31,66 @@
   { 2, 0, 2, false },  { 4, 0, 2, false },                                         /* map */
 };
 
-struct walk
+struct reader
 {
   const unsigned char *at;
   const unsigned char *end;
 };
 
 static size_t
-walk_left (const struct walk *walk)
+remaining_bytes (const struct reader *reader)
 {
-  return (size_t) (walk->end - walk->at);
+  return (size_t) (reader->end - reader->at);
 }
 
-/* Steps over one header and its payload; *children is what the header announces to follow. */
+/* Skips one header and its payload; sets *children to the number of objects that must follow. */
 static bool
-step_coded (struct walk *walk, unsigned char code, uint64_t *children)
+skip_table_coded (struct reader *reader, unsigned char code, uint64_t *children)
 {
-  const struct shape *shape = &shapes[code - CODED_FIRST];
+  const struct header_format *format = &header_formats[code - FIRST_TABLE_CODE];
   uint64_t count = 0;
 
-  if (shape->invalid || walk_left (walk) < (size_t) shape->count_bytes + shape->fixed)
+  if (format->invalid
+      || remaining_bytes (reader) < (size_t) format->count_bytes + format->fixed_bytes)
     return false;
-  for (unsigned i = 0; i < shape->count_bytes; i++)
-    count = count << 8 | *walk->at++;
-  walk->at += shape->fixed;
-  *children = count * shape->children;
-  if (shape->children > 0)
-    return *children <= walk_left (walk);
-  if (count > walk_left (walk))
+  for (unsigned i = 0; i < format->count_bytes; i++)
+    count = count << 8 | *reader->at++;
+  reader->at += format->fixed_bytes;
+  *children = count * format->children;
+  if (format->children > 0)
+    return *children <= remaining_bytes (reader);
+  if (count > remaining_bytes (reader))
     return false;
-  walk->at += count;
+  reader->at += count;
   return true;
 }
 
 static bool
-step (struct walk *walk, uint64_t *children)
+skip_header (struct reader *reader, uint64_t *children)
 {
   unsigned char code;
 
   *children = 0;
-  if (walk_left (walk) == 0)
+  if (remaining_bytes (reader) == 0)
     return false;
-  code = *walk->at++;
-  if (code >= CODED_FIRST && code <= CODED_LAST)
-    return step_coded (walk, code, children);
-  if (code < 0x80 || code > CODED_LAST)
+  code = *reader->at++;
+  if (code >= FIRST_TABLE_CODE && code <= LAST_TABLE_CODE)
+    return skip_table_coded (reader, code, children);
+  if (code < 0x80 || code > LAST_TABLE_CODE)
     return true;
-  if (code < 0xa0) /* a small map or array */
+  if (code < 0xa0) /* fixmap or fixarray */
     {
       *children = (uint64_t) (code & 0x0f) * (code < 0x90 ? 2 : 1);
-      return *children <= walk_left (walk);
+      return *children <= remaining_bytes (reader);
     }
-  if ((size_t) (code & 0x1f) > walk_left (walk))
+  if ((size_t) (code & 0x1f) > remaining_bytes (reader))
     return false;
-  walk->at += code & 0x1f;
+  reader->at += code & 0x1f;
   return true;
 }
 
 static bool
-refuse (GError **error, enum mt_error code, const char *why)
+set_unpack_error (GError **error, enum mt_error code, const char *why)
 {
   g_set_error (error, MT_ERROR, code, "msgpack %s; check that both sides run the same version",
                why);
@@ -97,11 +98,11 @@
 }
 
 static bool
-check (struct mt_str bytes, GError **error)
+check_structure (struct mt_str bytes, GError **error)
 {
-  struct walk walk
+  struct reader reader
       = { (const unsigned char *) bytes.data, (const unsigned char *) bytes.data + bytes.len };
-  uint64_t open[MT_PACK_MAX_DEPTH] = { 1 }; /* objects still to come at each depth */
+  uint64_t open[MT_PACK_MAX_DEPTH] = { 1 }; /* remaining objects at each depth */
   unsigned depth = 0;
   unsigned objects = 0;
 
@@ -114,18 +115,18 @@
       if (open[depth] == 0)
         break;
       open[depth]--;
-      if (!step (&walk, &children))
-        return refuse (error, MT_ERROR_SYNTAX, "is cut or malformed");
+      if (!skip_header (&reader, &children))
+        return set_unpack_error (error, MT_ERROR_SYNTAX, "is truncated or malformed");
       if (++objects > MT_PACK_MAX_OBJECTS)
-        return refuse (error, MT_ERROR_LIMIT, "has too many objects");
+        return set_unpack_error (error, MT_ERROR_LIMIT, "has too many objects");
       if (children == 0)
         continue;
       if (++depth == MT_PACK_MAX_DEPTH)
-        return refuse (error, MT_ERROR_LIMIT, "is nested too deep");
+        return set_unpack_error (error, MT_ERROR_LIMIT, "is nested too deeply");
       open[depth] = children;
     }
-  if (walk.at != walk.end)
-    return refuse (error, MT_ERROR_SYNTAX, "has trailing bytes");
+  if (reader.at != reader.end)
+    return set_unpack_error (error, MT_ERROR_SYNTAX, "has trailing bytes");
   return true;
 }
 
@@ -134,13 +135,13 @@
 {
   size_t offset = 0;
 
-  if (!check (bytes, error))
+  if (!check_structure (bytes, error))
     return false;
   msgpack_unpacked_init (out);
   if (msgpack_unpack_next (out, bytes.data, bytes.len, &offset) == MSGPACK_UNPACK_SUCCESS)
     return true;
   msgpack_unpacked_destroy (out);
-  return refuse (error, MT_ERROR_SYNTAX, "can't be read");
+  return set_unpack_error (error, MT_ERROR_SYNTAX, "can't be read");
 }
 
 void
--- a/include/medlartrack/arena.h
+++ b/include/medlartrack/arena.h
@@ -1,5 +1,5 @@
-/* An arena: memory that lives as long as one request, freed in one call. Built on talloc, so that
- * anything allocated under it goes with it. An arena belongs to one thread at a time. */
+/* An arena: memory with the lifetime of one request, freed in one call. Built on talloc, so
+ * anything allocated under it is freed with it. An arena belongs to one thread at a time. */
 #ifndef MEDLARTRACK_ARENA_H
 #define MEDLARTRACK_ARENA_H
 
@@ -7,15 +7,15 @@
 
 struct mt_arena;
 
-/* limit: most bytes handed out over the arena's life; 0 means no limit. */
+/* limit: maximum number of bytes allocated over the arena's life; 0 means no limit. */
 struct mt_arena *mt_arena_create (size_t limit);
 void mt_arena_destroy (struct mt_arena *arena);
-/* Zeroed memory, or NULL where the limit would be passed. */
+/* Returns zeroed memory, or NULL if the limit would be exceeded. */
 void *mt_arena_alloc (struct mt_arena *arena, size_t size);
-/* A NUL-terminated copy; its data is NULL where the limit would be passed. */
+/* Returns a NUL-terminated copy; its data is NULL if the limit would be exceeded. */
 struct mt_str mt_arena_dup (struct mt_arena *arena, struct mt_str s);
-/* Makes child a part of the arena: it counts against its limit and is freed with it. False where
- * the limit would be passed; child then stays the caller's. */
+/* Makes child a part of the arena: it counts against the arena's limit and is freed with the arena.
+ * Returns false if the limit would be exceeded; child then still belongs to the caller. */
 bool mt_arena_adopt (struct mt_arena *arena, struct mt_arena *child);
 size_t mt_arena_used (const struct mt_arena *arena);
 
--- a/include/medlartrack/breaker.h
+++ b/include/medlartrack/breaker.h
@@ -1,6 +1,6 @@
-/* A store that stops calling a service known to be down, so that nobody waits for it, and comes
- * back to it at jittered times, so that daemons don't come back together. Shared by all users of
- * the store; any thread may call. */
+/* Circuit breaker: a store that stops calling a service known to be down, so that no caller waits
+ * for it. It probes the service at jittered times, so that daemons don't return to it all at once.
+ * Shared by all users of the store; any thread may call. */
 #ifndef MEDLARTRACK_BREAKER_H
 #define MEDLARTRACK_BREAKER_H
 
@@ -12,14 +12,14 @@
 struct mt_breaker_options
 {
   const struct mt_clock *clock;
-  const struct mt_store *inner; /* outlives the breaker */
-  unsigned failure_threshold;   /* so many in a row open it */
-  int64_t min_pause_us;         /* least pause before a probe */
-  int64_t max_pause_us;         /* longest pause */
-  uint32_t seed;                /* of the jitter, unlike any other daemon's */
+  const struct mt_store *inner; /* must outlive the breaker */
+  unsigned failure_threshold;   /* failures in a row that open the breaker */
+  int64_t min_pause_us;         /* shortest pause before a probe */
+  int64_t max_pause_us;         /* longest pause before a probe */
+  uint32_t seed;                /* for the jitter; different on each daemon */
 };
 
-/* Calls let through, by kind, and those refused without a call. */
+/* Calls passed on by kind, calls refused while open, and the number of times it opened. */
 struct mt_breaker_counts
 {
   uint64_t reads;
@@ -31,8 +31,8 @@
 
 struct mt_breaker *mt_breaker_create (const struct mt_breaker_options *options);
 void mt_breaker_destroy (struct mt_breaker *breaker);
-/* Lives as long as the breaker. While it is open, reads fail with MT_ERROR_UNAVAILABLE and writes
- * return MT_STORE_FAILED, but for one probe after each pause. */
+/* The store is valid as long as the breaker. While the breaker is open, reads fail with
+ * MT_ERROR_UNAVAILABLE and writes return MT_STORE_FAILED, except for one probe after each pause. */
 const struct mt_store *mt_breaker_store (struct mt_breaker *breaker);
 bool mt_breaker_is_open (struct mt_breaker *breaker);
 struct mt_breaker_counts mt_breaker_counts (struct mt_breaker *breaker);
--- a/include/medlartrack/clock.h
+++ b/include/medlartrack/clock.h
@@ -1,5 +1,5 @@
-/* The injected clock. Nothing in the core asks the operating system for the time; tests pause and
- * advance a manual clock. Any thread may read a clock; a manual one is advanced by its owner. */
+/* Injected clock. No code in core/ asks the operating system for the time; tests use a manual clock
+ * that they advance. Any thread may read a clock; a manual clock is advanced by its owner. */
 #ifndef MEDLARTRACK_CLOCK_H
 #define MEDLARTRACK_CLOCK_H
 
@@ -12,7 +12,7 @@
 {
   const char *name;
   const char *description;
-  int64_t (*now_us) (void *ctx);  /* never goes back; counts time spent suspended */
+  int64_t (*now_us) (void *ctx);  /* never goes back; includes time that the machine is suspended */
   int64_t (*wall_us) (void *ctx); /* since the Unix epoch; may jump */
 };
 
@@ -25,10 +25,10 @@
 int64_t mt_clock_now (const struct mt_clock *clock);
 int64_t mt_clock_wall (const struct mt_clock *clock);
 
-/* The machine's own clock; static, never freed. */
+/* The machine's clock; static, never freed. */
 const struct mt_clock *mt_clock_system (void);
 
-/* A paused clock that stands at start_us until it is advanced. */
+/* A clock that starts at start_us and changes only by mt_clock_manual_advance. */
 struct mt_clock_manual;
 struct mt_clock_manual *mt_clock_manual_create (int64_t start_us);
 void mt_clock_manual_destroy (struct mt_clock_manual *manual);
--- a/include/medlartrack/error.h
+++ b/include/medlartrack/error.h
@@ -1,4 +1,4 @@
-/* Typed errors. Every message names what was found and the remedy. */
+/* Error codes. Every message names what was found and the remedy. */
 #ifndef MEDLARTRACK_ERROR_H
 #define MEDLARTRACK_ERROR_H
 
@@ -8,16 +8,16 @@
 
 enum mt_error
 {
-  MT_ERROR_SYNTAX,      /* not readable as JSON, msgpack or HTTP */
-  MT_ERROR_SETTINGS,    /* a settings key has a wrong value */
-  MT_ERROR_TABLES,      /* a row of a table is refused */
-  MT_ERROR_CONFLICT,    /* a compare-and-swap lost against another writer */
-  MT_ERROR_UNAVAILABLE, /* nothing took effect; the other side can't be reached or refused */
-  MT_ERROR_UNKNOWN,     /* it may have taken effect; only a read can tell */
-  MT_ERROR_TIMEOUT,     /* the deadline passed */
-  MT_ERROR_LIMIT,       /* a stated limit is exceeded */
-  MT_ERROR_STALE,       /* what it was decided from is no longer in force */
-  MT_ERROR_USAGE,       /* the command line is wrong */
+  MT_ERROR_SYNTAX,      /* not valid JSON, msgpack or HTTP */
+  MT_ERROR_SETTINGS,    /* invalid value of a settings key */
+  MT_ERROR_TABLES,      /* a row of a table is invalid */
+  MT_ERROR_CONFLICT,    /* a compare-and-swap failed because of another writer */
+  MT_ERROR_UNAVAILABLE, /* nothing took effect: the peer refused or can't be reached */
+  MT_ERROR_UNKNOWN,     /* the call may have taken effect; only a read can show */
+  MT_ERROR_TIMEOUT,     /* the deadline has passed */
+  MT_ERROR_LIMIT,       /* a limit is exceeded */
+  MT_ERROR_STALE,       /* the state that the call was based on is out of date */
+  MT_ERROR_USAGE,       /* invalid command line */
 };
 
 GQuark mt_error_quark (void);
--- a/include/medlartrack/json_text.h
+++ b/include/medlartrack/json_text.h
@@ -1,11 +1,12 @@
-/* Text inside JSON that is written by hand, where a tree of values would cost a surge too much.
- * Pure, any thread. */
+/* Strings in JSON that is written directly, where building a tree of values would cost too much
+ * under load. Pure function, any thread. */
 #ifndef MEDLARTRACK_JSON_TEXT_H
 #define MEDLARTRACK_JSON_TEXT_H
 
 #include <glib.h>
 
-/* Appends text in quotes. It must be UTF-8, as all is that was read from JSON; NULL is "". */
+/* Appends text as a quoted JSON string. It must be valid UTF-8, as all text read from JSON is. NULL
+ * counts as "". */
 void mt_json_append_string (GString *out, const char *text);
 
 #endif
--- a/include/medlartrack/log.h
+++ b/include/medlartrack/log.h
@@ -1,5 +1,5 @@
-/* Numbered log events over GLib's structured logging. The catalogue is event_list.h; a test holds
- * docs/EVENTS.md to it. Any thread may log. */
+/* Numbered log events on top of GLib's structured logging. They are listed in event_list.h; a test
+ * compares that list with docs/EVENTS.md. Any thread may log. */
 #ifndef MEDLARTRACK_LOG_H
 #define MEDLARTRACK_LOG_H
 
@@ -21,7 +21,7 @@
   const char *text;
 };
 
-/* The whole catalogue, ended by an entry with id 0. */
+/* Returns all events; the last entry has id 0. */
 const struct mt_event_info *mt_event_catalogue (void);
 
 enum mt_log_format
@@ -30,7 +30,7 @@
   MT_LOG_JSON,
 };
 
-/* The least severe that is written. */
+/* The lowest severity that is written. */
 enum mt_log_level
 {
   MT_LOG_DEBUG,
@@ -39,11 +39,11 @@
   MT_LOG_ERROR,
 };
 
-/* Installs the writer, once, before threads start. Each event is one line on standard error, valid
- * whatever bytes its detail has. */
+/* Installs the log writer; call it once, before threads start. Each event is written as one line to
+ * standard error, valid whatever bytes its detail contains. */
 void mt_log_setup (enum mt_log_format format, enum mt_log_level level, const char *process_name);
 
-/* Logs one event. detail is printf-like "key=value ..." text; NULL for none. */
+/* Logs one event. detail is a printf format for "key=value ..." text; NULL for none. */
 void mt_log_event (enum mt_event event, const char *detail, ...) G_GNUC_PRINTF (2, 3);
 
 #endif
--- a/include/medlartrack/pack.h
+++ b/include/medlartrack/pack.h
@@ -1,6 +1,6 @@
-/* Safe reading of msgpack from other processes. msgpack-c allocates an array by its declared length
- * before it has seen the elements, so five hostile bytes ask for gigabytes; the check here walks
- * the headers first. Pure functions, any thread. */
+/* Safe parsing of msgpack from other processes. msgpack-c allocates an array by its declared length
+ * before it has read the elements, so five hostile bytes can request gigabytes; the functions here
+ * check all headers first. Pure functions, any thread. */
 #ifndef MEDLARTRACK_PACK_H
 #define MEDLARTRACK_PACK_H
 
@@ -12,21 +12,22 @@
 #define MT_PACK_MAX_DEPTH   8
 #define MT_PACK_MAX_OBJECTS 65536
 
-/* Unpacks bytes that hold exactly one object. False with MT_ERROR_SYNTAX for anything else,
- * trailing bytes included, or MT_ERROR_LIMIT where it is nested too deep or has too many objects.
- * On success the caller calls msgpack_unpacked_destroy; its strings borrow from bytes. */
+/* Unpacks bytes that contain exactly one object. Returns false with MT_ERROR_SYNTAX for anything
+ * else, including trailing bytes, or with MT_ERROR_LIMIT if it is nested too deeply or has too many
+ * objects. On success the caller calls msgpack_unpacked_destroy; strings in the result point into
+ * bytes. */
 bool mt_pack_read (struct mt_str bytes, msgpack_unpacked *out, GError **error);
 
 void mt_pack_str (msgpack_packer *packer, struct mt_str s);
 void mt_pack_bin (msgpack_packer *packer, struct mt_str s);
 
-/* Typed access; false for another type. */
+/* Typed access. Return false for an object of another type or a value out of range. */
 bool mt_pack_get_str (const msgpack_object *object, struct mt_str *out);
 bool mt_pack_get_bin (const msgpack_object *object, struct mt_str *out);
 bool mt_pack_get_u64 (const msgpack_object *object, uint64_t max, uint64_t *out);
 bool mt_pack_get_unsigned (const msgpack_object *object, unsigned *out);
 bool mt_pack_get_bool (const msgpack_object *object, bool *out);
-/* The elements of an array of exactly n, or NULL. */
+/* Returns the elements of an array of exactly n, or NULL. */
 const msgpack_object *mt_pack_get_array (const msgpack_object *object, size_t n);
 
 #endif
--- a/include/medlartrack/str.h
+++ b/include/medlartrack/str.h
@@ -1,4 +1,4 @@
-/* Length-counted strings. A mt_str borrows its bytes; whoever made them owns them. */
+/* Strings with explicit length. A struct mt_str does not own its bytes; their creator does. */
 #ifndef MEDLARTRACK_STR_H
 #define MEDLARTRACK_STR_H
 
@@ -7,19 +7,19 @@
 
 struct mt_str
 {
-  const char *data; /* not NUL-terminated unless the maker says so */
+  const char *data; /* not NUL-terminated unless its creator says so */
   size_t len;       /* bytes */
 };
 
 #define MT_STR(literal) ((struct mt_str){ (literal), sizeof (literal) - 1 })
-/* For printf's "%.*s". */
+/* Arguments for printf's "%.*s". */
 #define MT_STR_ARG(s) (int) (s).len, (s).data
 
 struct mt_str mt_str_from (const char *cstr);
 bool mt_str_equal (struct mt_str a, struct mt_str b);
 bool mt_str_equal_nocase (struct mt_str a, struct mt_str b);
 bool mt_str_has_prefix (struct mt_str s, struct mt_str prefix);
-/* Reads a whole unsigned decimal; false for anything else, overflow included. */
+/* Parses s as one unsigned decimal number; returns false for anything else, including overflow. */
 bool mt_str_to_u64 (struct mt_str s, unsigned long long *out);
 
 #endif
--- a/tests/base/test_base.c
+++ b/tests/base/test_base.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 
 static void
-test_str_to_u64_refuses_overflow (void **state)
+test_str_to_u64_rejects_overflow (void **state)
 {
   unsigned long long value = 7;
 
@@ -22,7 +22,7 @@
 }
 
 static void
-test_arena_keeps_its_limit (void **state)
+test_arena_enforces_its_limit (void **state)
 {
   struct mt_arena *arena = mt_arena_create (64);
 
@@ -34,7 +34,7 @@
 }
 
 static void
-test_manual_clock_stands_until_advanced (void **state)
+test_manual_clock_changes_only_when_advanced (void **state)
 {
   struct mt_clock_manual *manual = mt_clock_manual_create (5);
   const struct mt_clock *clock = mt_clock_manual_clock (manual);
@@ -49,9 +49,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_str_to_u64_refuses_overflow),
-    cmocka_unit_test (test_arena_keeps_its_limit),
-    cmocka_unit_test (test_manual_clock_stands_until_advanced),
+    cmocka_unit_test (test_str_to_u64_rejects_overflow),
+    cmocka_unit_test (test_arena_enforces_its_limit),
+    cmocka_unit_test (test_manual_clock_changes_only_when_advanced),
   };
 
   return cmocka_run_group_tests_name ("base", tests, NULL, NULL);
--- a/tests/base/test_breaker.c
+++ b/tests/base/test_breaker.c
@@ -8,10 +8,10 @@
 
 #include <cmocka.h>
 
-#define DAEMONS    100
-#define FIRST_US   (250 * MT_MS)
-#define LONGEST_US (5 * MT_SECOND)
-#define STEP_US    (50 * MT_MS)
+#define DAEMONS      100
+#define MIN_PAUSE_US (250 * MT_MS)
+#define MAX_PAUSE_US (5 * MT_SECOND)
+#define STEP_US      (50 * MT_MS)
 
 struct fixture
 {
@@ -47,8 +47,8 @@
   struct mt_breaker_options options = { .clock = mt_clock_manual_clock (f->manual),
                                         .inner = fake_store_store (f->fake),
                                         .failure_threshold = 3,
-                                        .min_pause_us = FIRST_US,
-                                        .max_pause_us = LONGEST_US,
+                                        .min_pause_us = MIN_PAUSE_US,
+                                        .max_pause_us = MAX_PAUSE_US,
                                         .seed = seed };
 
   return mt_breaker_create (&options);
@@ -65,8 +65,8 @@
   return ok;
 }
 
-/* The service goes down: three calls meet it, the rest are refused without a call, but for one
- * probe after each pause; the first that is answered lets all through again. */
+/* When the service goes down, three calls reach it and the rest are refused without a call, except
+ * for one probe after each pause. The first answered probe lets all calls through again. */
 static void
 test_opens_probes_and_closes (void **state)
 {
@@ -77,21 +77,22 @@
   for (int i = 0; i < 20; i++)
     assert_false (read_key (breaker));
   assert_int_equal (fake_store_reads (f->fake), 3);
-  mt_clock_manual_advance (f->manual, LONGEST_US);
+  mt_clock_manual_advance (f->manual, MAX_PAUSE_US);
   for (int i = 0; i < 20; i++)
     assert_false (read_key (breaker));
   assert_int_equal (fake_store_reads (f->fake), 4);
   fake_store_set_down (f->fake, false);
-  mt_clock_manual_advance (f->manual, LONGEST_US);
+  mt_clock_manual_advance (f->manual, MAX_PAUSE_US);
   assert_true (read_key (breaker));
   assert_false (mt_breaker_is_open (breaker));
   assert_true (read_key (breaker));
   mt_breaker_destroy (breaker);
 }
 
-/* A conflict, a missing key and a lapsed lease are answers: the service is up. */
+/* Guards against a breaker that opens because of a conflict, a missing key or an expired lease:
+ * these are answers, so the service is up. */
 static void
-test_answers_keep_it_closed (void **state)
+test_answers_keep_breaker_closed (void **state)
 {
   struct fixture *f = *state;
   struct mt_breaker *breaker = create_breaker (f, 1);
@@ -109,15 +110,16 @@
   mt_breaker_destroy (breaker);
 }
 
-/* A hundred daemons lose the service at one moment and it comes back after a minute: their probes
- * are spread over the longest pause, no step sees more than a tenth of them. */
+/* Guards against a rush of calls when the service recovers. 100 daemons lose it at the same time
+ * and it returns after a minute: their probes must be spread over the longest pause, with at most a
+ * tenth of them in any step. */
 static void
 test_no_stampede_at_recovery (void **state)
 {
   struct fixture *f = *state;
   struct mt_breaker *breakers[DAEMONS];
-  uint64_t most = 0;
-  unsigned back = 0;
+  uint64_t max_reads = 0;
+  unsigned closed = 0;
 
   fake_store_set_down (f->fake, true);
   for (uint32_t i = 0; i < DAEMONS; i++)
@@ -126,24 +128,24 @@
       for (int n = 0; n < 3; n++)
         read_key (breakers[i]);
     }
-  for (int64_t at = 0; at < 60 * MT_SECOND + LONGEST_US; at += STEP_US)
+  for (int64_t at = 0; at < 60 * MT_SECOND + MAX_PAUSE_US; at += STEP_US)
     {
       uint64_t before = fake_store_reads (f->fake);
 
-      back = 0;
+      closed = 0;
       fake_store_set_down (f->fake, at < 60 * MT_SECOND);
       mt_clock_manual_advance (f->manual, STEP_US);
       for (unsigned i = 0; i < DAEMONS; i++)
         {
           if (mt_breaker_is_open (breakers[i]))
             read_key (breakers[i]);
-          back += !mt_breaker_is_open (breakers[i]);
+          closed += !mt_breaker_is_open (breakers[i]);
         }
       if (at >= 10 * MT_SECOND)
-        most = MAX (most, fake_store_reads (f->fake) - before);
+        max_reads = MAX (max_reads, fake_store_reads (f->fake) - before);
     }
-  assert_int_equal (back, DAEMONS);
-  assert_true (most <= DAEMONS / 10);
+  assert_int_equal (closed, DAEMONS);
+  assert_true (max_reads <= DAEMONS / 10);
   for (unsigned i = 0; i < DAEMONS; i++)
     mt_breaker_destroy (breakers[i]);
 }
@@ -153,7 +155,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_opens_probes_and_closes, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_answers_keep_it_closed, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_answers_keep_breaker_closed, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_no_stampede_at_recovery, set_up, tear_down),
   };
 
--- a/tests/base/test_log.c
+++ b/tests/base/test_log.c
@@ -11,17 +11,17 @@
 #include <cmocka.h>
 #include <jansson.h>
 
-/* Installs the writer once for the process, as GLib wants it, and catches standard error. */
+/* Installs the log writer, which GLib allows once per process, and captures standard error. */
 static int saved_stderr;
-static FILE *caught;
+static FILE *captured;
 
 static int
 setup (void **state)
 {
   mt_log_setup (MT_LOG_JSON, MT_LOG_INFO, "d\n1");
-  caught = tmpfile ();
+  captured = tmpfile ();
   saved_stderr = dup (STDERR_FILENO);
-  return dup2 (fileno (caught), STDERR_FILENO) < 0;
+  return dup2 (fileno (captured), STDERR_FILENO) < 0;
 }
 
 static int
@@ -29,7 +29,7 @@
 {
   dup2 (saved_stderr, STDERR_FILENO);
   close (saved_stderr);
-  fclose (caught);
+  fclose (captured);
   return 0;
 }
 
@@ -38,13 +38,13 @@
 {
   char line[8192];
 
-  if (fgets (line, sizeof line, caught) == NULL)
+  if (fgets (line, sizeof line, captured) == NULL)
     return NULL;
   return json_loads (line, JSON_REJECT_DUPLICATES, NULL);
 }
 
-/* A caller puts arbitrary bytes into what an event quotes: each event stays one line of valid JSON,
- * and none of them is lost or forged. */
+/* Guards against lost or forged events when an event quotes arbitrary bytes from a caller: each
+ * event must be one line of valid JSON. */
 static void
 test_log_lines_are_json_for_any_bytes (void **state)
 {
@@ -59,7 +59,7 @@
   mt_log_event (MT_EVENT_TABLES_REFUSED, "why=%s", longest);
   mt_log_event (MT_EVENT_STOPPED, NULL);
   g_log_structured (G_LOG_DOMAIN, G_LOG_LEVEL_DEBUG, "MESSAGE", "%s", "below the level");
-  rewind (caught);
+  rewind (captured);
   for (size_t i = 0; i < G_N_ELEMENTS (details) + 1; i++)
     {
       line = next_line ();
@@ -84,8 +84,8 @@
   return level == G_LOG_LEVEL_WARNING ? "warning" : level == G_LOG_LEVEL_DEBUG ? "debug" : "info";
 }
 
-/* docs/EVENTS.md has one row for each event, with the same name, level and text and something that
- * the operator can do, and no row for an event that is gone. */
+/* docs/EVENTS.md must have one row for each event, with its name, level and text and an action for
+ * the operator, and no rows for removed events. */
 static void
 test_events_page_matches_the_catalogue (void **state)
 {
