--- a/core/config/tables_change.c
+++ b/core/config/tables_change.c
@@ -249,11 +249,11 @@
 
   json_array_foreach (log, i, entry)
   {
-    uint64_t of = (uint64_t) json_integer_value (json_object_get (entry, "version"));
+    uint64_t entry_version = (uint64_t) json_integer_value (json_object_get (entry, "version"));
 
-    if (of <= version)
+    if (entry_version <= version)
       continue;
-    if (of == expected)
+    if (entry_version == expected)
       expected++;
     json_array_append (out, entry);
   }
@@ -274,9 +274,9 @@
 
   json_array_foreach (log, i, entry)
   {
-    const char *of = json_string_value (json_object_get (entry, "id"));
+    const char *entry_id = json_string_value (json_object_get (entry, "id"));
 
-    found = found || (of != NULL && strcmp (of, id) == 0);
+    found = found || (entry_id != NULL && strcmp (entry_id, id) == 0);
   }
   json_decref (log);
   return found;
--- a/core/jobs/placement.c
+++ b/core/jobs/placement.c
@@ -1,8 +1,7 @@
 /* Policies that choose among the workers with enough free resources. */
 #include "medlartrack/jobs.h"
 
-#define SAME_RACK_COST                                                                             \
-  0.05 /* per running job of the kind in the rack; 1.0: one resource all free */
+#define SAME_RACK_COST 0.05 /* per job of the kind in the rack; 1.0: one resource all free */
 
 static double
 remaining_share (uint32_t available, uint32_t need, uint32_t capacity)
--- a/include/medlartrack/jobs.h
+++ b/include/medlartrack/jobs.h
@@ -75,18 +75,15 @@
 /* Scheduler options. mt_jobs_default_options returns usable values for all of them. */
 struct mt_jobs_options
 {
-  int64_t
-      age_limit_us[MT_URGENCY_COUNT]; /* jobs waiting this long become aged: treated as urgent */
-  int64_t
-      start_timeout_us; /* an unreported start is fenced after this, the job started elsewhere */
+  int64_t age_limit_us[MT_URGENCY_COUNT]; /* waiting time after which a job is urgent */
+  int64_t start_timeout_us;               /* an unreported start is fenced after this time */
   int64_t request_retry_us; /* interval for repeating unconfirmed stops, checkpoints and fences */
   int64_t usage_delay_us;   /* usage measured earlier than this after the task's start is ignored */
   int64_t quarantine_us; /* length of a worker's first quarantine; doubles with each repetition */
   unsigned quarantine_threshold; /* jobs failing in a row on one worker that put it in quarantine */
   unsigned poison_threshold;     /* workers that a job fails on or crashes before it is given up */
-  int64_t
-      crash_window_us; /* a worker lost this soon after a start may have been crashed by the job */
-  unsigned max_starts; /* per call of mt_jobs_plan */
+  int64_t crash_window_us;       /* a job started this recently may have crashed its worker */
+  unsigned max_starts;           /* per call of mt_jobs_plan */
   const struct mt_placement_policy *placement;
 };
 
--- a/include/medlartrack/tables.h
+++ b/include/medlartrack/tables.h
@@ -77,13 +77,12 @@
 {
   struct mt_str name;
   struct mt_str service;
-  bool spare;             /* the reserve that other pools borrow instances from */
-  unsigned min_instances; /* per data centre: minimum that planned changes leave serving */
-  unsigned max_instances; /* per data centre; 0: no limit */
-  unsigned
-      max_unavailable;  /* per data centre: the service's availability budget, outages included */
-  double move_weight;   /* cost of moving one instance */
-  double buffer_weight; /* cost of holding one idle instance for one hour */
+  bool spare;               /* the reserve that other pools borrow instances from */
+  unsigned min_instances;   /* per data centre: minimum that planned changes leave serving */
+  unsigned max_instances;   /* per data centre; 0: no limit */
+  unsigned max_unavailable; /* per data centre: the service's budget, unplanned outages included */
+  double move_weight;       /* cost of moving one instance */
+  double buffer_weight;     /* cost of holding one idle instance for one hour */
   struct mt_wave wave;
   struct mt_instance *instances;
   size_t n_instances;
