--- a/core/membership/membership.c
+++ b/core/membership/membership.c
@@ -3,38 +3,40 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A daemon that was paused (SIGSTOP, a suspended machine) has heard nobody meanwhile, and that is
- * its own fault: no beat advances the membership's clock by more than this, so that it does not
- * wake up and drop everyone, which would make it take all slots of its data centre for itself. */
-#define LONGEST_STEP_US (2 * MT_MEMBERSHIP_HEARTBEAT_US)
-
-/* All load reports that a daemon receives come to about this much, however many daemons its data
- * centre has: each publishes the less often the larger its report and the more members. */
-#define LOAD_BYTES_A_SECOND 4096
-
-#define MAX_ANSWER_LOADS (64UL * 1024) /* load bytes in one answer; the rest goes with the next */
-#define MAX_TOMBSTONES   1024
-#define TOMBSTONE_US     (600 * MT_SECOND)
-#define OUTSIDER_EVERY   8 /* picks: one of them also asks a removed member */
+/* A daemon that was paused (SIGSTOP, a suspended machine) has received no heartbeats meanwhile,
+ * through no fault of the others. No heartbeat advances the membership's clock by more than this,
+ * so that a resumed daemon does not drop all members, which would make it take all slots of its
+ * data centre for itself. */
+#define MAX_CLOCK_STEP_US (2 * MT_MEMBERSHIP_HEARTBEAT_US)
+
+/* All load reports that a daemon receives add up to about this rate, however many daemons its data
+ * centre has: each daemon publishes less often the larger its report and the more members there
+ * are. */
+#define LOAD_BYTES_PER_SECOND 4096
+
+#define MAX_RESPONSE_LOAD_BYTES (64UL * 1024) /* in one response; the rest goes with the next */
+#define MAX_TOMBSTONES          1024
+#define TOMBSTONE_RETENTION_US  (600 * MT_SECOND)
+#define REMOVED_MEMBER_INTERVAL 8 /* one in this many picks also calls a removed member */
 
 struct record
 {
-  struct mt_member member; /* first: a pointer to it is one to the record */
-  struct mt_beat beat;     /* what is told on; the member's fields are filled from it */
-  int64_t loads_sent_us;   /* own record: when the last report was published */
-  char *load;              /* the newest report as published */
-  size_t load_len;
+  struct mt_member member; /* first, so that a pointer to it is also a pointer to the record */
+  struct mt_member_heartbeat heartbeat; /* sent on; the member's fields are copied from it */
+  int64_t loads_sent_us;                /* own record: when the last report was published */
+  char *encoded_report;                 /* the newest report */
+  size_t encoded_report_len;
   bool suspected;
-  bool twice; /* told already */
+  bool duplicate_reported; /* MT_MEMBER_DUPLICATE_NAME was reported */
 };
 
-/* A life that is over or was overtaken: its old heartbeats, still on the way, don't revive it. */
+/* A removed or superseded incarnation of a daemon; its delayed heartbeats do not revive it. */
 struct tombstone
 {
-  uint64_t heartbeat;
-  uint64_t successor_heartbeat; /* of the higher incarnation, when this one was first refused */
+  uint64_t heartbeat_number;
+  uint64_t successor_heartbeat_number; /* of the higher incarnation when this was first refused */
   uint64_t incarnation;
-  int64_t since_us;
+  int64_t created_us;
   char *address;
 };
 
@@ -43,18 +45,18 @@
   const struct mt_clock *clock;
   const struct mt_membership_callbacks *callbacks;
   void *ctx;
-  int64_t now_us;       /* own clock: grows with beats, see LONGEST_STEP_US */
-  int64_t last_beat_us; /* on the injected clock */
-  struct record *own;   /* in by_name too */
-  GHashTable *by_name;  /* name -> struct record, owns */
-  GHashTable *by_key;   /* key -> struct record */
-  GHashTable *buried;   /* key -> struct tombstone, owns */
-  uint64_t rival_key;   /* of a life of this daemon's name with a higher incarnation */
-  GPtrArray *turn;      /* of g_strdup names still to be asked in this turn */
-  uint64_t random;      /* state of the shuffle; need not be good */
+  int64_t now_us;                  /* own clock: advances with heartbeats, see MAX_CLOCK_STEP_US */
+  int64_t last_heartbeat_us;       /* on the caller's clock */
+  struct record *own;              /* also in by_name */
+  GHashTable *by_name;             /* name -> struct record, owned */
+  GHashTable *by_key;              /* key -> struct record */
+  GHashTable *tombstones;          /* key -> struct tombstone, owned */
+  uint64_t higher_incarnation_key; /* of a higher incarnation of this daemon's name */
+  GPtrArray *round;                /* g_strdup names that are still to be called in this round */
+  uint64_t random;                 /* state of the shuffle; need not be of good quality */
   unsigned picks;
-  struct mt_load_report pending; /* own loads, published when due */
-  bool has_pending;
+  struct mt_load_report pending_report; /* own loads, not yet published */
+  bool has_pending_report;
 };
 
 static void
@@ -68,7 +70,7 @@
   g_free (record->member.name);
   g_free (record->member.zone);
   g_free (record->member.address);
-  g_free (record->load);
+  g_free (record->encoded_report);
   g_free (record);
 }
 
@@ -82,7 +84,7 @@
 }
 
 static void
-tell (struct mt_membership *m, enum mt_membership_event event, struct record *record)
+notify (struct mt_membership *m, enum mt_membership_event event, struct record *record)
 {
   record->member.heartbeat_age_us = m->now_us - record->member.heartbeat_seen_us;
   if (m->callbacks != NULL)
@@ -102,10 +104,10 @@
   record->member.zone = g_strndup (zone.data, zone.len);
   record->member.address = g_strndup (address.data, address.len);
   record->member.incarnation = incarnation;
-  record->beat.key = mt_wire_key (name, incarnation);
+  record->heartbeat.key = mt_member_key (name, incarnation);
   record->member.heartbeat_seen_us = m->now_us;
   g_hash_table_insert (m->by_name, record->member.name, record);
-  g_hash_table_insert (m->by_key, &record->beat.key, record);
+  g_hash_table_insert (m->by_key, &record->heartbeat.key, record);
   return record;
 }
 
@@ -119,13 +121,13 @@
   m->ctx = options->ctx;
   m->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_record);
   m->by_key = g_hash_table_new (g_int64_hash, g_int64_equal);
-  m->buried = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, free_tombstone);
-  m->turn = g_ptr_array_new_with_free_func (g_free);
-  m->last_beat_us = mt_clock_now (m->clock);
+  m->tombstones = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, free_tombstone);
+  m->round = g_ptr_array_new_with_free_func (g_free);
+  m->last_heartbeat_us = mt_clock_now (m->clock);
   m->own = add_record (m, mt_str_from (options->name), mt_str_from (options->zone),
                        mt_str_from (options->address), options->incarnation);
   m->own->member.reach = MT_REACH_YES;
-  m->random = m->own->beat.key | 1;
+  m->random = m->own->heartbeat.key | 1;
   return m;
 }
 
@@ -134,39 +136,39 @@
 {
   if (m == NULL)
     return;
-  mt_load_report_clear (&m->pending);
+  mt_load_report_clear (&m->pending_report);
   g_hash_table_unref (m->by_key);
   g_hash_table_unref (m->by_name);
-  g_hash_table_unref (m->buried);
-  g_ptr_array_unref (m->turn);
+  g_hash_table_unref (m->tombstones);
+  g_ptr_array_unref (m->round);
   g_free (m);
 }
 
 static void
-bury (struct mt_membership *m, const struct record *record)
+add_tombstone (struct mt_membership *m, const struct record *record)
 {
   struct tombstone *tombstone = g_new0 (struct tombstone, 1);
 
-  tombstone->heartbeat = record->beat.heartbeat;
+  tombstone->heartbeat_number = record->heartbeat.number;
   tombstone->incarnation = record->member.incarnation;
-  tombstone->since_us = m->now_us;
+  tombstone->created_us = m->now_us;
   tombstone->address = g_strdup (record->member.address);
-  if (g_hash_table_size (m->buried) < MAX_TOMBSTONES)
-    g_hash_table_replace (m->buried, g_memdup2 (&record->beat.key, sizeof record->beat.key),
-                          tombstone);
+  if (g_hash_table_size (m->tombstones) < MAX_TOMBSTONES)
+    g_hash_table_replace (
+        m->tombstones, g_memdup2 (&record->heartbeat.key, sizeof record->heartbeat.key), tombstone);
   else
     free_tombstone (tombstone);
 }
 
 static void
-forget (struct mt_membership *m, struct record *record)
+remove_record (struct mt_membership *m, struct record *record)
 {
-  bury (m, record);
-  g_hash_table_remove (m->by_key, &record->beat.key);
+  add_tombstone (m, record);
+  g_hash_table_remove (m->by_key, &record->heartbeat.key);
   g_hash_table_remove (m->by_name, record->member.name);
 }
 
-/* Takes over the report's lists. */
+/* Takes ownership of the report's lists. */
 static void
 set_report (struct record *record, struct mt_load_report *report)
 {
@@ -184,224 +186,233 @@
 }
 
 static void
-show_beat (struct record *record)
+copy_heartbeat_to_member (struct record *record)
 {
-  record->member.heartbeat = record->beat.heartbeat;
-  record->member.tables_version = record->beat.tables_version;
-  record->member.assign_version = record->beat.assign_version;
+  record->member.heartbeat = record->heartbeat.number;
+  record->member.tables_version = record->heartbeat.tables_version;
+  record->member.assign_version = record->heartbeat.assign_version;
 }
 
-/* A life's beats are ordered by its heartbeat number alone, so any order, loss and repetition of
- * messages ends in the same state. */
+/* The heartbeats of one incarnation are ordered by their number alone, so reordered, lost and
+ * repeated messages lead to the same state. */
 static void
-merge_beat (struct mt_membership *m, struct record *record, const struct mt_beat *beat)
+merge_heartbeat (struct mt_membership *m,
+                 struct record *record,
+                 const struct mt_member_heartbeat *heartbeat)
 {
-  uint64_t load_seq = record->beat.load_seq;
-  bool leaves = beat->leaving && !record->member.leaving;
+  uint64_t load_seq = record->heartbeat.load_seq;
+  bool starts_leaving = heartbeat->leaving && !record->member.leaving;
 
-  if (record == m->own || beat->heartbeat <= record->beat.heartbeat)
+  if (record == m->own || heartbeat->number <= record->heartbeat.number)
     return;
-  record->beat = *beat;
-  record->beat.load_seq = load_seq; /* of the report held here, not of the newest there is */
+  record->heartbeat = *heartbeat;
+  record->heartbeat.load_seq = load_seq; /* of the report held here, which need not be the newest */
   record->member.heartbeat_seen_us = m->now_us;
-  record->member.leaving = beat->leaving;
-  show_beat (record);
+  record->member.leaving = heartbeat->leaving;
+  copy_heartbeat_to_member (record);
   if (record->suspected)
     {
       record->suspected = false;
-      tell (m, MT_MEMBER_RECOVERED, record);
+      notify (m, MT_MEMBER_RECOVERED, record);
     }
-  if (leaves)
-    tell (m, MT_MEMBER_LEAVING, record);
+  if (starts_leaving)
+    notify (m, MT_MEMBER_LEAVING, record);
 }
 
-/* An entry of a lower incarnation under a known name: an earlier life whose words are still on the
- * way, or a second process. Only the second goes on beating while the other beats as well. */
+/* Handles an entry with a lower incarnation under a known name: a delayed message of an earlier
+ * incarnation, or a second process. Only a second process goes on sending heartbeats while the
+ * higher incarnation does so too. */
 static void
-refuse_earlier_life (struct mt_membership *m, struct record *known, const struct mt_entry *entry)
+refuse_earlier_incarnation (struct mt_membership *m,
+                            struct record *known,
+                            const struct mt_gossip_entry *entry)
 {
-  struct tombstone *tombstone = g_hash_table_lookup (m->buried, &entry->beat.key);
+  struct tombstone *tombstone = g_hash_table_lookup (m->tombstones, &entry->heartbeat.key);
 
   if (tombstone == NULL)
     {
-      struct record shadow = { .beat = entry->beat };
+      struct record shadow = { .heartbeat = entry->heartbeat };
 
       shadow.member.incarnation = entry->incarnation;
-      bury (m, &shadow);
+      add_tombstone (m, &shadow);
       return;
     }
-  if (entry->beat.heartbeat <= tombstone->heartbeat)
+  if (entry->heartbeat.number <= tombstone->heartbeat_number)
     return;
-  tombstone->heartbeat = entry->beat.heartbeat;
-  if (tombstone->successor_heartbeat == 0)
-    tombstone->successor_heartbeat = known->beat.heartbeat;
-  else if (known->beat.heartbeat > tombstone->successor_heartbeat && !known->twice)
+  tombstone->heartbeat_number = entry->heartbeat.number;
+  if (tombstone->successor_heartbeat_number == 0)
+    tombstone->successor_heartbeat_number = known->heartbeat.number;
+  else if (known->heartbeat.number > tombstone->successor_heartbeat_number
+           && !known->duplicate_reported)
     {
-      known->twice = true;
-      tell (m, MT_MEMBER_DUPLICATE_NAME, known);
+      known->duplicate_reported = true;
+      notify (m, MT_MEMBER_DUPLICATE_NAME, known);
     }
 }
 
-/* This daemon's own name with another incarnation: a second process if it beats, else this daemon's
- * own earlier life. */
+/* Handles an entry with this daemon's own name and another incarnation: a second process if its
+ * heartbeat grows, otherwise an earlier incarnation of this daemon. */
 static void
-meet_rival (struct mt_membership *m, const struct mt_entry *entry)
+handle_own_name (struct mt_membership *m, const struct mt_gossip_entry *entry)
 {
-  struct tombstone *tombstone = g_hash_table_lookup (m->buried, &entry->beat.key);
-  struct record shadow = { .beat = entry->beat };
+  struct tombstone *tombstone = g_hash_table_lookup (m->tombstones, &entry->heartbeat.key);
+  struct record shadow = { .heartbeat = entry->heartbeat };
 
   if (tombstone == NULL)
     {
       shadow.member.incarnation = entry->incarnation;
-      bury (m, &shadow);
+      add_tombstone (m, &shadow);
       if (entry->incarnation > m->own->member.incarnation)
-        m->rival_key = entry->beat.key;
+        m->higher_incarnation_key = entry->heartbeat.key;
     }
-  else if (entry->beat.heartbeat > tombstone->heartbeat)
+  else if (entry->heartbeat.number > tombstone->heartbeat_number)
     {
-      tombstone->heartbeat = entry->beat.heartbeat;
-      if (!m->own->twice)
-        tell (m, MT_MEMBER_DUPLICATE_NAME, m->own);
-      m->own->twice = true;
+      tombstone->heartbeat_number = entry->heartbeat.number;
+      if (!m->own->duplicate_reported)
+        notify (m, MT_MEMBER_DUPLICATE_NAME, m->own);
+      m->own->duplicate_reported = true;
     }
 }
 
-/* The earlier life has the higher incarnation where the machine's clock was set back between the
- * two: nobody would listen to this one until it has the higher. */
+/* Raises this daemon's incarnation above an earlier, higher one. The earlier one is higher if the
+ * machine's clock was set back between the two; other daemons ignore this one until its incarnation
+ * is higher. */
 static void
-outlive_rival (struct mt_membership *m)
+raise_own_incarnation (struct mt_membership *m)
 {
-  const struct tombstone *rival = g_hash_table_lookup (m->buried, &m->rival_key);
+  const struct tombstone *earlier = g_hash_table_lookup (m->tombstones, &m->higher_incarnation_key);
   struct record *own = m->own;
 
-  if (rival == NULL || own->twice || rival->incarnation < own->member.incarnation
-      || m->now_us - rival->since_us < MT_MEMBERSHIP_SUSPECT_US)
+  if (earlier == NULL || own->duplicate_reported || earlier->incarnation < own->member.incarnation
+      || m->now_us - earlier->created_us < MT_MEMBERSHIP_SUSPECT_US)
     return;
-  g_hash_table_remove (m->by_key, &own->beat.key);
-  own->member.incarnation = rival->incarnation + 1;
-  own->beat.key = mt_wire_key (mt_str_from (own->member.name), own->member.incarnation);
-  g_hash_table_insert (m->by_key, &own->beat.key, own);
+  g_hash_table_remove (m->by_key, &own->heartbeat.key);
+  own->member.incarnation = earlier->incarnation + 1;
+  own->heartbeat.key = mt_member_key (mt_str_from (own->member.name), own->member.incarnation);
+  g_hash_table_insert (m->by_key, &own->heartbeat.key, own);
 }
 
 static bool
-is_buried (struct mt_membership *m, const struct mt_entry *entry)
+is_tombstoned (struct mt_membership *m, const struct mt_gossip_entry *entry)
 {
-  const struct tombstone *tombstone = g_hash_table_lookup (m->buried, &entry->beat.key);
+  const struct tombstone *tombstone = g_hash_table_lookup (m->tombstones, &entry->heartbeat.key);
 
-  return tombstone != NULL && entry->beat.heartbeat <= tombstone->heartbeat;
+  return tombstone != NULL && entry->heartbeat.number <= tombstone->heartbeat_number;
 }
 
-/* The record for an entry whose key is not known yet, or NULL where it is not taken in. */
+/* Adds a record for an entry whose key is not known yet. Returns NULL if the entry is refused. */
 static struct record *
-admit (struct mt_membership *m, const struct mt_entry *entry)
+add_unknown_member (struct mt_membership *m, const struct mt_gossip_entry *entry)
 {
   g_autofree char *name = NULL;
   struct record *known;
   struct record *record;
 
-  if (!entry->is_full)
+  if (!entry->has_identity)
     return NULL;
   name = g_strndup (entry->name.data, entry->name.len);
   known = g_hash_table_lookup (m->by_name, name);
   if (known == m->own)
     {
-      meet_rival (m, entry);
+      handle_own_name (m, entry);
       return NULL;
     }
   if (known != NULL && known->member.incarnation >= entry->incarnation)
     {
-      refuse_earlier_life (m, known, entry);
+      refuse_earlier_incarnation (m, known, entry);
       return NULL;
     }
-  if (is_buried (m, entry)
+  if (is_tombstoned (m, entry)
       || (known == NULL && mt_membership_count (m) >= MT_MEMBERSHIP_MAX_MEMBERS))
     return NULL;
   if (known != NULL)
-    forget (m, known);
-  g_hash_table_remove (m->buried, &entry->beat.key);
+    remove_record (m, known);
+  g_hash_table_remove (m->tombstones, &entry->heartbeat.key);
   record = add_record (m, entry->name, entry->zone, entry->address, entry->incarnation);
-  merge_beat (m, record, &entry->beat);
-  tell (m, MT_MEMBER_JOINED, record);
+  merge_heartbeat (m, record, &entry->heartbeat);
+  notify (m, MT_MEMBER_JOINED, record);
   return record;
 }
 
 static void
-merge_entry (struct mt_membership *m, struct mt_entry *entry)
+merge_entry (struct mt_membership *m, struct mt_gossip_entry *entry)
 {
-  struct record *record = g_hash_table_lookup (m->by_key, &entry->beat.key);
+  struct record *record = g_hash_table_lookup (m->by_key, &entry->heartbeat.key);
 
   if (record == NULL)
-    record = admit (m, entry);
+    record = add_unknown_member (m, entry);
   if (record == NULL || record == m->own)
     return;
-  merge_beat (m, record, &entry->beat);
-  if (entry->load.len == 0 || entry->beat.load_seq <= record->beat.load_seq
+  merge_heartbeat (m, record, &entry->heartbeat);
+  if (entry->encoded_report.len == 0 || entry->heartbeat.load_seq <= record->heartbeat.load_seq
       || strcmp (record->member.zone, m->own->member.zone) != 0)
     return;
-  record->beat.load_seq = entry->beat.load_seq;
-  g_free (record->load);
-  record->load = g_memdup2 (entry->load.data, entry->load.len);
-  record->load_len = entry->load.len;
+  record->heartbeat.load_seq = entry->heartbeat.load_seq;
+  g_free (record->encoded_report);
+  record->encoded_report = g_memdup2 (entry->encoded_report.data, entry->encoded_report.len);
+  record->encoded_report_len = entry->encoded_report.len;
   set_report (record, &entry->report);
 }
 
 static void
-merge_message (struct mt_membership *m, struct mt_message *message)
+merge_message (struct mt_membership *m, struct mt_gossip_message *message)
 {
   for (guint i = 0; i < message->entries->len; i++)
-    merge_entry (m, &g_array_index (message->entries, struct mt_entry, i));
-  for (guint i = 0; i < message->beats->len; i++)
+    merge_entry (m, &g_array_index (message->entries, struct mt_gossip_entry, i));
+  for (guint i = 0; i < message->heartbeats->len; i++)
     {
-      const struct mt_beat *beat = &g_array_index (message->beats, struct mt_beat, i);
-      struct record *record = g_hash_table_lookup (m->by_key, &beat->key);
+      const struct mt_member_heartbeat *heartbeat
+          = &g_array_index (message->heartbeats, struct mt_member_heartbeat, i);
+      struct record *record = g_hash_table_lookup (m->by_key, &heartbeat->key);
 
       if (record != NULL)
-        merge_beat (m, record, beat);
+        merge_heartbeat (m, record, heartbeat);
     }
 }
 
-/* A silent member's last heartbeat is not passed on: whoever gets it late would count its silence
- * from then, and a dead member could wander from daemon to daemon without end. */
+/* A suspected member's last heartbeat is not sent on: a daemon that receives it late would count
+ * the silence from then on, and a dead member could be passed from daemon to daemon without end. */
 static bool
-is_told (const struct record *record)
+is_sent_on (const struct record *record)
 {
   return !record->suspected;
 }
 
-static struct mt_entry
+static struct mt_gossip_entry
 full_entry (const struct record *record, bool with_load)
 {
-  struct mt_entry entry = { .beat = record->beat, .is_full = true };
+  struct mt_gossip_entry entry = { .heartbeat = record->heartbeat, .has_identity = true };
 
   entry.name = mt_str_from (record->member.name);
   entry.zone = mt_str_from (record->member.zone);
   entry.address = mt_str_from (record->member.address);
   entry.incarnation = record->member.incarnation;
   if (with_load)
-    entry.load = (struct mt_str){ record->load, record->load_len };
+    entry.encoded_report = (struct mt_str){ record->encoded_report, record->encoded_report_len };
   return entry;
 }
 
-static struct mt_message *
+static struct mt_gossip_message *
 start_message (const struct mt_membership *m)
 {
-  return mt_message_create (mt_str_from (m->own->member.name), mt_str_from (m->own->member.zone));
+  return mt_gossip_message_create (mt_str_from (m->own->member.name),
+                                   mt_str_from (m->own->member.zone));
 }
 
 static char *
-finish_message (struct mt_message *message, size_t *len)
+finish_message (struct mt_gossip_message *message, size_t *len)
 {
-  char *bytes = mt_wire_write (message, len);
+  char *bytes = mt_gossip_message_encode (message, len);
 
-  mt_message_destroy (message);
+  mt_gossip_message_destroy (message);
   return bytes;
 }
 
 char *
 mt_membership_make_request (struct mt_membership *m, size_t *len)
 {
-  struct mt_message *message = start_message (m);
-  struct mt_entry own = full_entry (m->own, false);
+  struct mt_gossip_message *message = start_message (m);
+  struct mt_gossip_entry own = full_entry (m->own, false);
   GHashTableIter iter;
   gpointer value;
 
@@ -411,61 +422,63 @@
     {
       const struct record *record = value;
 
-      if (record != m->own && is_told (record))
-        g_array_append_val (message->beats, record->beat);
+      if (record != m->own && is_sent_on (record))
+        g_array_append_val (message->heartbeats, record->heartbeat);
     }
   return finish_message (message, len);
 }
 
-/* What the asker told of each key: a table from key to its beat. */
+/* Returns a table of the heartbeats in a request, by key. */
 static GHashTable *
-index_beats (const struct mt_message *ask)
+index_heartbeats (const struct mt_gossip_message *request)
 {
-  GHashTable *told = g_hash_table_new (g_int64_hash, g_int64_equal);
+  GHashTable *received = g_hash_table_new (g_int64_hash, g_int64_equal);
 
-  for (guint i = 0; i < ask->entries->len; i++)
+  for (guint i = 0; i < request->entries->len; i++)
     {
-      struct mt_entry *entry = &g_array_index (ask->entries, struct mt_entry, i);
+      struct mt_gossip_entry *entry = &g_array_index (request->entries, struct mt_gossip_entry, i);
 
-      g_hash_table_insert (told, &entry->beat.key, &entry->beat);
+      g_hash_table_insert (received, &entry->heartbeat.key, &entry->heartbeat);
     }
-  for (guint i = 0; i < ask->beats->len; i++)
+  for (guint i = 0; i < request->heartbeats->len; i++)
     {
-      struct mt_beat *beat = &g_array_index (ask->beats, struct mt_beat, i);
+      struct mt_member_heartbeat *heartbeat
+          = &g_array_index (request->heartbeats, struct mt_member_heartbeat, i);
 
-      g_hash_table_insert (told, &beat->key, beat);
+      g_hash_table_insert (received, &heartbeat->key, heartbeat);
     }
-  return told;
+  return received;
 }
 
 static void
-add_newer (const struct record *record,
-           const struct mt_beat *told,
-           bool same_zone,
-           size_t *load_left,
-           struct mt_message *answer)
-{
-  bool news = told == NULL || record->beat.heartbeat > told->heartbeat;
-  bool load = same_zone && record->load_len > 0 && record->load_len <= *load_left
-              && (told == NULL || record->beat.load_seq > told->load_seq);
-  struct mt_entry entry;
-
-  if (!news && !load)
+add_newer_entry (const struct record *record,
+                 const struct mt_member_heartbeat *received,
+                 bool same_zone,
+                 size_t *remaining_load_bytes,
+                 struct mt_gossip_message *response)
+{
+  bool is_newer = received == NULL || record->heartbeat.number > received->number;
+  bool load = same_zone && record->encoded_report_len > 0
+              && record->encoded_report_len <= *remaining_load_bytes
+              && (received == NULL || record->heartbeat.load_seq > received->load_seq);
+  struct mt_gossip_entry entry;
+
+  if (!is_newer && !load)
     return;
   entry = full_entry (record, load);
-  entry.is_full = told == NULL;
+  entry.has_identity = received == NULL;
   if (load)
-    *load_left -= record->load_len;
-  g_array_append_val (answer->entries, entry);
+    *remaining_load_bytes -= record->encoded_report_len;
+  g_array_append_val (response->entries, entry);
 }
 
 static char *
-answer_message (struct mt_membership *m, const struct mt_message *ask, size_t *len)
+make_response (struct mt_membership *m, const struct mt_gossip_message *request, size_t *len)
 {
-  struct mt_message *answer = start_message (m);
-  GHashTable *told = index_beats (ask);
-  size_t load_left = MAX_ANSWER_LOADS;
-  bool same_zone = mt_str_equal (ask->zone, mt_str_from (m->own->member.zone));
+  struct mt_gossip_message *response = start_message (m);
+  GHashTable *received = index_heartbeats (request);
+  size_t remaining_load_bytes = MAX_RESPONSE_LOAD_BYTES;
+  bool same_zone = mt_str_equal (request->zone, mt_str_from (m->own->member.zone));
   GHashTableIter iter;
   gpointer value;
 
@@ -475,45 +488,45 @@
       const struct record *record = value;
       bool in_zone = same_zone && strcmp (record->member.zone, m->own->member.zone) == 0;
 
-      if (is_told (record))
-        add_newer (record, g_hash_table_lookup (told, &record->beat.key), in_zone, &load_left,
-                   answer);
+      if (is_sent_on (record))
+        add_newer_entry (record, g_hash_table_lookup (received, &record->heartbeat.key), in_zone,
+                         &remaining_load_bytes, response);
     }
-  g_hash_table_unref (told);
-  return finish_message (answer, len);
+  g_hash_table_unref (received);
+  return finish_message (response, len);
 }
 
 char *
 mt_membership_handle_request (struct mt_membership *m,
-                              struct mt_str ask,
+                              struct mt_str request,
                               size_t *len,
                               GError **error)
 {
-  struct mt_message *message = mt_wire_read (ask, error);
-  char *answer;
+  struct mt_gossip_message *message = mt_gossip_message_decode (request, error);
+  char *response;
 
   if (message == NULL)
     return NULL;
   merge_message (m, message);
-  answer = answer_message (m, message, len);
-  mt_message_destroy (message);
-  return answer;
+  response = make_response (m, message, len);
+  mt_gossip_message_destroy (message);
+  return response;
 }
 
 bool
 mt_membership_handle_response (struct mt_membership *m,
-                               struct mt_str answer,
-                               char **from,
+                               struct mt_str response,
+                               char **responder,
                                GError **error)
 {
-  struct mt_message *message = mt_wire_read (answer, error);
+  struct mt_gossip_message *message = mt_gossip_message_decode (response, error);
 
   if (message == NULL)
     return false;
   merge_message (m, message);
-  if (from != NULL)
-    *from = g_strndup (message->name.data, message->name.len);
-  mt_message_destroy (message);
+  if (responder != NULL)
+    *responder = g_strndup (message->name.data, message->name.len);
+  mt_gossip_message_destroy (message);
   return true;
 }
 
@@ -529,15 +542,15 @@
 void
 mt_membership_set_versions (struct mt_membership *m, uint64_t tables, uint64_t assign)
 {
-  m->own->beat.tables_version = MAX (m->own->beat.tables_version, tables);
-  m->own->beat.assign_version = MAX (m->own->beat.assign_version, assign);
-  show_beat (m->own);
+  m->own->heartbeat.tables_version = MAX (m->own->heartbeat.tables_version, tables);
+  m->own->heartbeat.assign_version = MAX (m->own->heartbeat.assign_version, assign);
+  copy_heartbeat_to_member (m->own);
 }
 
 void
 mt_membership_set_leaving (struct mt_membership *m)
 {
-  m->own->beat.leaving = true;
+  m->own->heartbeat.leaving = true;
   m->own->member.leaving = true;
 }
 
@@ -555,7 +568,7 @@
                          const struct mt_member_demand *demands,
                          size_t n_demands)
 {
-  struct mt_load_report *report = &m->pending;
+  struct mt_load_report *report = &m->pending_report;
 
   mt_load_report_clear (report);
   report->loads = g_new0 (struct mt_member_load, n_loads);
@@ -571,7 +584,7 @@
         report->demands[report->n_demands] = demands[i];
         report->demands[report->n_demands++].pool = g_strdup (demands[i].pool);
       }
-  m->has_pending = true;
+  m->has_pending_report = true;
 }
 
 static unsigned
@@ -592,32 +605,36 @@
 publish_loads (struct mt_membership *m)
 {
   struct record *own = m->own;
-  bool moved = own->beat.assign_version != own->member.loads_assign_version;
-  int64_t wait_us = (int64_t) own->load_len * count_in_zone (m) * MT_SECOND / LOAD_BYTES_A_SECOND;
+  bool assignment_changed = own->heartbeat.assign_version != own->member.loads_assign_version;
+  int64_t wait_us
+      = (int64_t) own->encoded_report_len * count_in_zone (m) * MT_SECOND / LOAD_BYTES_PER_SECOND;
   char *bytes;
   size_t len;
 
-  if (!m->has_pending || (own->load != NULL && !moved && m->now_us - own->loads_sent_us < wait_us))
+  if (!m->has_pending_report
+      || (own->encoded_report != NULL && !assignment_changed
+          && m->now_us - own->loads_sent_us < wait_us))
     return;
-  m->has_pending = false;
-  m->pending.assign_version = own->beat.assign_version;
-  bytes = mt_wire_write_load (&m->pending, &len);
-  if (own->load != NULL && len == own->load_len && memcmp (bytes, own->load, len) == 0)
+  m->has_pending_report = false;
+  m->pending_report.assign_version = own->heartbeat.assign_version;
+  bytes = mt_load_report_encode (&m->pending_report, &len);
+  if (own->encoded_report != NULL && len == own->encoded_report_len
+      && memcmp (bytes, own->encoded_report, len) == 0)
     {
       free (bytes);
       return;
     }
-  g_free (own->load);
-  own->load = g_memdup2 (bytes, len);
-  own->load_len = len;
+  g_free (own->encoded_report);
+  own->encoded_report = g_memdup2 (bytes, len);
+  own->encoded_report_len = len;
   free (bytes);
-  own->beat.load_seq++;
+  own->heartbeat.load_seq++;
   own->loads_sent_us = m->now_us;
-  set_report (own, &m->pending);
+  set_report (own, &m->pending_report);
 }
 
 static void
-judge (struct mt_membership *m, struct record *record)
+check_silence (struct mt_membership *m, struct record *record)
 {
   int64_t silent_us = m->now_us - record->member.heartbeat_seen_us;
   int64_t limit_us = record->member.leaving ? MT_MEMBERSHIP_SUSPECT_US : MT_MEMBERSHIP_REMOVE_US;
@@ -626,20 +643,20 @@
     {
       record->suspected = true;
       if (!record->member.leaving)
-        tell (m, MT_MEMBER_SUSPECTED, record);
+        notify (m, MT_MEMBER_SUSPECTED, record);
     }
   if (silent_us < limit_us)
     return;
-  tell (m, MT_MEMBER_REMOVED, record);
-  forget (m, record);
+  notify (m, MT_MEMBER_REMOVED, record);
+  remove_record (m, record);
 }
 
 static gboolean
-is_outlived (gpointer key, gpointer value, gpointer data)
+is_tombstone_expired (gpointer key, gpointer value, gpointer data)
 {
   const struct mt_membership *m = data;
 
-  return m->now_us - ((struct tombstone *) value)->since_us > TOMBSTONE_US;
+  return m->now_us - ((struct tombstone *) value)->created_us > TOMBSTONE_RETENTION_US;
 }
 
 void
@@ -648,17 +665,17 @@
   int64_t now = mt_clock_now (m->clock);
   g_autoptr (GList) records = g_hash_table_get_values (m->by_name);
 
-  m->now_us += CLAMP (now - m->last_beat_us, 0, LONGEST_STEP_US);
-  m->last_beat_us = now;
-  m->own->beat.heartbeat++;
+  m->now_us += CLAMP (now - m->last_heartbeat_us, 0, MAX_CLOCK_STEP_US);
+  m->last_heartbeat_us = now;
+  m->own->heartbeat.number++;
   m->own->member.heartbeat_seen_us = m->now_us;
-  show_beat (m->own);
-  outlive_rival (m);
+  copy_heartbeat_to_member (m->own);
+  raise_own_incarnation (m);
   publish_loads (m);
   for (GList *at = records; at != NULL; at = at->next)
     if (at->data != m->own)
-      judge (m, at->data);
-  g_hash_table_foreach_remove (m->buried, is_outlived, m);
+      check_silence (m, at->data);
+  g_hash_table_foreach_remove (m->tombstones, is_tombstone_expired, m);
 }
 
 /* xorshift64: the shuffle only has to differ between daemons. */
@@ -672,7 +689,7 @@
 }
 
 static void
-start_turn (struct mt_membership *m)
+start_round (struct mt_membership *m)
 {
   GHashTableIter iter;
   gpointer name;
@@ -680,26 +697,26 @@
   g_hash_table_iter_init (&iter, m->by_name);
   while (g_hash_table_iter_next (&iter, &name, NULL))
     if (strcmp (name, m->own->member.name) != 0)
-      g_ptr_array_add (m->turn, g_strdup (name));
-  for (guint i = m->turn->len; i > 1; i--)
+      g_ptr_array_add (m->round, g_strdup (name));
+  for (guint i = m->round->len; i > 1; i--)
     {
       guint j = (guint) (next_random (m) % i);
-      gpointer swapped = m->turn->pdata[i - 1];
+      gpointer swapped = m->round->pdata[i - 1];
 
-      m->turn->pdata[i - 1] = m->turn->pdata[j];
-      m->turn->pdata[j] = swapped;
+      m->round->pdata[i - 1] = m->round->pdata[j];
+      m->round->pdata[j] = swapped;
     }
 }
 
 static const char *
-pick_buried (struct mt_membership *m)
+pick_removed_address (struct mt_membership *m)
 {
-  guint n = g_hash_table_size (m->buried);
+  guint n = g_hash_table_size (m->tombstones);
   guint skip = n > 0 ? (guint) (next_random (m) % n) : 0;
   GHashTableIter iter;
   gpointer value = NULL;
 
-  g_hash_table_iter_init (&iter, m->buried);
+  g_hash_table_iter_init (&iter, m->tombstones);
   for (guint i = 0; i <= skip; i++)
     if (!g_hash_table_iter_next (&iter, NULL, &value))
       return NULL;
@@ -709,17 +726,18 @@
 size_t
 mt_membership_pick_peers (struct mt_membership *m, char **out, size_t count)
 {
-  const char *outsider = m->picks++ % OUTSIDER_EVERY == 0 ? pick_buried (m) : NULL;
+  const char *removed_address
+      = m->picks++ % REMOVED_MEMBER_INTERVAL == 0 ? pick_removed_address (m) : NULL;
   size_t others = mt_membership_count (m) - 1;
   size_t n = 0;
 
-  if (outsider != NULL && n < count)
-    out[n++] = g_strdup (outsider);
-  if (m->turn->len == 0)
-    start_turn (m);
-  for (size_t tried = 0; n < count && tried < others && m->turn->len > 0; tried++)
+  if (removed_address != NULL && n < count)
+    out[n++] = g_strdup (removed_address);
+  if (m->round->len == 0)
+    start_round (m);
+  for (size_t tried = 0; n < count && tried < others && m->round->len > 0; tried++)
     {
-      g_autofree char *name = g_ptr_array_steal_index (m->turn, m->turn->len - 1);
+      g_autofree char *name = g_ptr_array_steal_index (m->round, m->round->len - 1);
       const struct record *record = g_hash_table_lookup (m->by_name, name);
 
       if (record != NULL && record != m->own)
@@ -729,7 +747,7 @@
 }
 
 static const struct mt_member *
-show (struct mt_membership *m, struct record *record)
+refresh_age (struct mt_membership *m, struct record *record)
 {
   record->member.heartbeat_age_us = m->now_us - record->member.heartbeat_seen_us;
   return &record->member;
@@ -740,13 +758,13 @@
 {
   struct record *record = g_hash_table_lookup (m->by_name, name);
 
-  return record != NULL ? show (m, record) : NULL;
+  return record != NULL ? refresh_age (m, record) : NULL;
 }
 
 const struct mt_member *
 mt_membership_self (struct mt_membership *m)
 {
-  return show (m, m->own);
+  return refresh_age (m, m->own);
 }
 
 bool
@@ -769,7 +787,7 @@
   GList *names = g_list_sort (g_hash_table_get_keys (m->by_name), compare_names);
 
   for (GList *at = names; at != NULL; at = at->next)
-    visit (ctx, show (m, g_hash_table_lookup (m->by_name, at->data)));
+    visit (ctx, refresh_age (m, g_hash_table_lookup (m->by_name, at->data)));
   g_list_free (names);
 }
 
--- a/core/membership/wire.c
+++ b/core/membership/wire.c
@@ -1,6 +1,6 @@
-/* The msgpack form of heartbeat messages: [name, zone, beats, entries]. Beats is one flat array of
- * BEAT_FIELDS integers for each; an entry is [beat fields..., [name, zone, address, incarnation] or
- * nil, load report or nil]. */
+/* The msgpack encoding of heartbeat messages: [name, zone, heartbeats, entries]. heartbeats is one
+ * flat array of HEARTBEAT_FIELDS integers for each; an entry is [heartbeat fields..., [name, zone,
+ * address, incarnation] or nil, load report or nil]. */
 #include "internal.h"
 
 #include "medlartrack/error.h"
@@ -10,16 +10,16 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define BEAT_FIELDS   6
-#define ENTRY_FIELDS  (BEAT_FIELDS + 2)
-#define LOAD_FIELDS   3
-#define DEMAND_FIELDS 4
-#define MAX_NAME      255
-#define MAX_COUNTER   ((uint64_t) 1 << 53)
-#define FLAG_LEAVING  1
+#define HEARTBEAT_FIELDS 6
+#define ENTRY_FIELDS     (HEARTBEAT_FIELDS + 2)
+#define LOAD_FIELDS      3
+#define DEMAND_FIELDS    4
+#define MAX_NAME_BYTES   255
+#define MAX_COUNTER      ((uint64_t) 1 << 53)
+#define FLAG_LEAVING     1
 
 uint64_t
-mt_wire_key (struct mt_str name, uint64_t incarnation)
+mt_member_key (struct mt_str name, uint64_t incarnation)
 {
   return XXH3_64bits_withSeed (name.data, name.len, incarnation);
 }
@@ -36,8 +36,8 @@
   *report = (struct mt_load_report){ 0 };
 }
 
-/* Names of minions differ in their last letters mostly: each is written as how much it shares with
- * the one before, and the rest. */
+/* Minion names mostly differ in their last letters: each is written as the length of the prefix
+ * that it shares with the previous name, and the rest. */
 static void
 write_loads (msgpack_packer *packer, const struct mt_load_report *report)
 {
@@ -59,7 +59,7 @@
 }
 
 char *
-mt_wire_write_load (const struct mt_load_report *report, size_t *len)
+mt_load_report_encode (const struct mt_load_report *report, size_t *len)
 {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
@@ -83,7 +83,8 @@
   return msgpack_sbuffer_release (&buffer);
 }
 
-/* An array whose length is a multiple of fields and at most max records; its records' count. */
+/* Checks that the object is an array whose length is a multiple of `fields`, with at most max
+ * records, and stores their number in n. */
 static bool
 get_records (const msgpack_object *object, size_t fields, size_t max, size_t *n)
 {
@@ -97,7 +98,7 @@
 read_loads (const msgpack_object *array, struct mt_load_report *out)
 {
   const msgpack_object *at;
-  char name[MAX_NAME + 1] = "";
+  char name[MAX_NAME_BYTES + 1] = "";
   size_t name_len = 0;
   size_t n;
 
@@ -111,7 +112,7 @@
       uint64_t shared;
 
       if (!mt_pack_get_u64 (&at[0], name_len, &shared) || !mt_pack_get_str (&at[1], &rest)
-          || shared + rest.len > MAX_NAME
+          || shared + rest.len > MAX_NAME_BYTES
           || !mt_pack_get_unsigned (&at[2], &out->loads[i].in_flight))
         return false;
       memcpy (name + shared, rest.data, rest.len);
@@ -138,7 +139,7 @@
       struct mt_member_demand *demand = &out->demands[i];
       struct mt_str pool;
 
-      if (!mt_pack_get_str (&at[0], &pool) || pool.len > MAX_NAME
+      if (!mt_pack_get_str (&at[0], &pool) || pool.len > MAX_NAME_BYTES
           || !mt_pack_get_unsigned (&at[1], &demand->waiting)
           || !mt_pack_get_unsigned (&at[2], &demand->in_flight)
           || !mt_pack_get_unsigned (&at[3], &demand->rate_milli))
@@ -150,7 +151,7 @@
 }
 
 bool
-mt_wire_read_load (struct mt_str bytes, struct mt_load_report *out)
+mt_load_report_decode (struct mt_str bytes, struct mt_load_report *out)
 {
   msgpack_unpacked unpacked;
   const msgpack_object *fields;
@@ -169,22 +170,22 @@
 }
 
 static void
-write_beat (msgpack_packer *packer, const struct mt_beat *beat)
+write_heartbeat (msgpack_packer *packer, const struct mt_member_heartbeat *heartbeat)
 {
-  msgpack_pack_uint64 (packer, beat->key);
-  msgpack_pack_uint64 (packer, beat->heartbeat);
-  msgpack_pack_uint64 (packer, beat->tables_version);
-  msgpack_pack_uint64 (packer, beat->assign_version);
-  msgpack_pack_uint64 (packer, beat->load_seq);
-  msgpack_pack_uint64 (packer, beat->leaving ? FLAG_LEAVING : 0);
+  msgpack_pack_uint64 (packer, heartbeat->key);
+  msgpack_pack_uint64 (packer, heartbeat->number);
+  msgpack_pack_uint64 (packer, heartbeat->tables_version);
+  msgpack_pack_uint64 (packer, heartbeat->assign_version);
+  msgpack_pack_uint64 (packer, heartbeat->load_seq);
+  msgpack_pack_uint64 (packer, heartbeat->leaving ? FLAG_LEAVING : 0);
 }
 
 static void
-write_entry (msgpack_packer *packer, const struct mt_entry *entry)
+write_entry (msgpack_packer *packer, const struct mt_gossip_entry *entry)
 {
   msgpack_pack_array (packer, ENTRY_FIELDS);
-  write_beat (packer, &entry->beat);
-  if (entry->is_full)
+  write_heartbeat (packer, &entry->heartbeat);
+  if (entry->has_identity)
     {
       msgpack_pack_array (packer, 4);
       mt_pack_str (packer, entry->name);
@@ -194,14 +195,14 @@
     }
   else
     msgpack_pack_nil (packer);
-  if (entry->load.len > 0)
-    mt_pack_bin (packer, entry->load);
+  if (entry->encoded_report.len > 0)
+    mt_pack_bin (packer, entry->encoded_report);
   else
     msgpack_pack_nil (packer);
 }
 
 char *
-mt_wire_write (const struct mt_message *message, size_t *len)
+mt_gossip_message_encode (const struct mt_gossip_message *message, size_t *len)
 {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
@@ -211,23 +212,23 @@
   msgpack_pack_array (&packer, 4);
   mt_pack_str (&packer, message->name);
   mt_pack_str (&packer, message->zone);
-  msgpack_pack_array (&packer, (size_t) message->beats->len * BEAT_FIELDS);
-  for (guint i = 0; i < message->beats->len; i++)
-    write_beat (&packer, &g_array_index (message->beats, struct mt_beat, i));
+  msgpack_pack_array (&packer, (size_t) message->heartbeats->len * HEARTBEAT_FIELDS);
+  for (guint i = 0; i < message->heartbeats->len; i++)
+    write_heartbeat (&packer, &g_array_index (message->heartbeats, struct mt_member_heartbeat, i));
   msgpack_pack_array (&packer, message->entries->len);
   for (guint i = 0; i < message->entries->len; i++)
-    write_entry (&packer, &g_array_index (message->entries, struct mt_entry, i));
+    write_entry (&packer, &g_array_index (message->entries, struct mt_gossip_entry, i));
   *len = buffer.size;
   return msgpack_sbuffer_release (&buffer);
 }
 
 static bool
-read_beat (const msgpack_object *at, struct mt_beat *out)
+read_heartbeat (const msgpack_object *at, struct mt_member_heartbeat *out)
 {
   uint64_t flags;
 
   if (!mt_pack_get_u64 (&at[0], UINT64_MAX, &out->key)
-      || !mt_pack_get_u64 (&at[1], MAX_COUNTER, &out->heartbeat)
+      || !mt_pack_get_u64 (&at[1], MAX_COUNTER, &out->number)
       || !mt_pack_get_u64 (&at[2], MAX_COUNTER, &out->tables_version)
       || !mt_pack_get_u64 (&at[3], MAX_COUNTER, &out->assign_version)
       || !mt_pack_get_u64 (&at[4], MAX_COUNTER, &out->load_seq)
@@ -240,81 +241,81 @@
 static bool
 get_name (const msgpack_object *object, struct mt_str *out)
 {
-  return mt_pack_get_str (object, out) && out->len > 0 && out->len <= MAX_NAME
+  return mt_pack_get_str (object, out) && out->len > 0 && out->len <= MAX_NAME_BYTES
          && memchr (out->data, '\0', out->len) == NULL;
 }
 
 static bool
-read_entry (const msgpack_object *object, struct mt_entry *out)
+read_entry (const msgpack_object *object, struct mt_gossip_entry *out)
 {
   const msgpack_object *at = mt_pack_get_array (object, ENTRY_FIELDS);
   const msgpack_object *full;
 
-  *out = (struct mt_entry){ 0 };
-  if (at == NULL || !read_beat (at, &out->beat))
+  *out = (struct mt_gossip_entry){ 0 };
+  if (at == NULL || !read_heartbeat (at, &out->heartbeat))
     return false;
-  full = &at[BEAT_FIELDS];
-  out->is_full = full->type != MSGPACK_OBJECT_NIL;
-  if (out->is_full)
+  full = &at[HEARTBEAT_FIELDS];
+  out->has_identity = full->type != MSGPACK_OBJECT_NIL;
+  if (out->has_identity)
     {
       const msgpack_object *fields = mt_pack_get_array (full, 4);
 
       if (fields == NULL || !get_name (&fields[0], &out->name) || !get_name (&fields[1], &out->zone)
           || !get_name (&fields[2], &out->address)
           || !mt_pack_get_u64 (&fields[3], UINT64_MAX, &out->incarnation)
-          || out->beat.key != mt_wire_key (out->name, out->incarnation))
+          || out->heartbeat.key != mt_member_key (out->name, out->incarnation))
         return false;
     }
-  if (at[BEAT_FIELDS + 1].type == MSGPACK_OBJECT_NIL)
+  if (at[HEARTBEAT_FIELDS + 1].type == MSGPACK_OBJECT_NIL)
     return true;
-  return mt_pack_get_bin (&at[BEAT_FIELDS + 1], &out->load)
-         && mt_wire_read_load (out->load, &out->report);
+  return mt_pack_get_bin (&at[HEARTBEAT_FIELDS + 1], &out->encoded_report)
+         && mt_load_report_decode (out->encoded_report, &out->report);
 }
 
-struct mt_message *
-mt_message_create (struct mt_str name, struct mt_str zone)
+struct mt_gossip_message *
+mt_gossip_message_create (struct mt_str name, struct mt_str zone)
 {
-  struct mt_message *message = g_new0 (struct mt_message, 1);
+  struct mt_gossip_message *message = g_new0 (struct mt_gossip_message, 1);
 
   message->name = name;
   message->zone = zone;
-  message->beats = g_array_new (FALSE, FALSE, sizeof (struct mt_beat));
-  message->entries = g_array_new (FALSE, FALSE, sizeof (struct mt_entry));
+  message->heartbeats = g_array_new (FALSE, FALSE, sizeof (struct mt_member_heartbeat));
+  message->entries = g_array_new (FALSE, FALSE, sizeof (struct mt_gossip_entry));
   return message;
 }
 
 void
-mt_message_destroy (struct mt_message *message)
+mt_gossip_message_destroy (struct mt_gossip_message *message)
 {
   for (guint i = 0; i < message->entries->len; i++)
-    mt_load_report_clear (&g_array_index (message->entries, struct mt_entry, i).report);
-  g_array_unref (message->beats);
+    mt_load_report_clear (&g_array_index (message->entries, struct mt_gossip_entry, i).report);
+  g_array_unref (message->heartbeats);
   g_array_unref (message->entries);
   g_free (message);
 }
 
 static bool
-read_message (const msgpack_object *root, struct mt_message *out)
+read_message (const msgpack_object *root, struct mt_gossip_message *out)
 {
   const msgpack_object *fields = mt_pack_get_array (root, 4);
   size_t n;
 
   if (fields == NULL || !get_name (&fields[0], &out->name) || !get_name (&fields[1], &out->zone)
-      || !get_records (&fields[2], BEAT_FIELDS, MT_MEMBERSHIP_MAX_MEMBERS, &n))
+      || !get_records (&fields[2], HEARTBEAT_FIELDS, MT_MEMBERSHIP_MAX_MEMBERS, &n))
     return false;
   for (size_t i = 0; i < n; i++)
     {
-      struct mt_beat beat;
+      struct mt_member_heartbeat heartbeat;
 
-      if (!read_beat (fields[2].via.array.ptr + i * BEAT_FIELDS, &beat))
+      if (!read_heartbeat (fields[2].via.array.ptr + i * HEARTBEAT_FIELDS, &heartbeat))
         return false;
-      g_array_append_val (out->beats, beat);
+      g_array_append_val (out->heartbeats, heartbeat);
     }
   if (!get_records (&fields[3], 1, MT_MEMBERSHIP_MAX_MEMBERS, &n))
     return false;
   for (size_t i = 0; i < n; i++)
     {
-      struct mt_entry entry;
+      struct mt_gossip_entry entry;
 
       if (!read_entry (fields[3].via.array.ptr + i, &entry))
         return false;
@@ -323,10 +324,10 @@
   return true;
 }
 
-struct mt_message *
-mt_wire_read (struct mt_str bytes, GError **error)
+struct mt_gossip_message *
+mt_gossip_message_decode (struct mt_str bytes, GError **error)
 {
-  struct mt_message *message;
+  struct mt_gossip_message *message;
   msgpack_unpacked unpacked;
   bool ok;
 
@@ -339,12 +340,12 @@
     }
   if (!mt_pack_read (bytes, &unpacked, error))
     return NULL;
-  message = mt_message_create (MT_STR (""), MT_STR (""));
+  message = mt_gossip_message_create (MT_STR (""), MT_STR (""));
   ok = read_message (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
   if (ok)
     return message;
-  mt_message_destroy (message);
+  mt_gossip_message_destroy (message);
   g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
                "not a heartbeat; check that the sender runs the same version");
   return NULL;
--- a/include/medlartrack/membership.h
+++ b/include/medlartrack/membership.h
@@ -1,9 +1,11 @@
-/* Who is there: the daemons that this one hears of, what each has in force and carries. Pure state,
- * fed with heartbeats; no I/O. Not thread-safe: the owner holds a lock around every call.
+/* Membership: the daemons known to this one, the versions that each has in force and the load that
+ * each reports. Pure state, updated by heartbeats; no I/O. Not thread-safe: the owner holds a lock
+ * around every call.
  *
- * Each daemon gossips: it asks a few others in turn, telling the newest heartbeat that it has of
- * everyone, and gets back what is newer. A member is judged by when its heartbeat last grew, never
- * by another's opinion, and by a clock that stands still while this daemon itself was paused. */
+ * Daemons gossip: each calls a few others in turn, sends the newest heartbeat that it has of every
+ * member, and gets back newer ones. A member's state depends only on when its heartbeat last grew,
+ * never on another daemon's opinion, and on a clock that does not advance while this daemon is
+ * paused. */
 #ifndef MEDLARTRACK_MEMBERSHIP_H
 #define MEDLARTRACK_MEMBERSHIP_H
 
@@ -12,36 +14,35 @@
 
 #include <glib.h>
 
-#define MT_MEMBERSHIP_HEARTBEAT_US                                                                 \
-  MT_SECOND /* the owner calls mt_membership_heartbeat this often */
-#define MT_MEMBERSHIP_SUSPECT_US        (5 * MT_SECOND)  /* silent this long: not alive */
-#define MT_MEMBERSHIP_REMOVE_US         (30 * MT_SECOND) /* silent this long: forgotten */
-#define MT_MEMBERSHIP_MAX_MEMBERS       256              /* members; more are not taken in */
-#define MT_MEMBERSHIP_MAX_LOADS         4096         /* minions or pools in one member's report */
-#define MT_MEMBERSHIP_MAX_MESSAGE_BYTES (256 * 1024) /* bytes of one heartbeat message */
+#define MT_MEMBERSHIP_HEARTBEAT_US      MT_SECOND /* interval of mt_membership_heartbeat calls */
+#define MT_MEMBERSHIP_SUSPECT_US        (5 * MT_SECOND)  /* no heartbeat for this time: not alive */
+#define MT_MEMBERSHIP_REMOVE_US         (30 * MT_SECOND) /* no heartbeat for this time: removed */
+#define MT_MEMBERSHIP_MAX_MEMBERS       256              /* further members are not added */
+#define MT_MEMBERSHIP_MAX_LOADS         4096 /* minions or pools in one member's report */
+#define MT_MEMBERSHIP_MAX_MESSAGE_BYTES (256 * 1024)
 
-/* In flight on one minion, as one daemon reports it. */
+/* Requests in flight on one minion, as reported by one daemon. */
 struct mt_member_load
 {
   char *minion;
   unsigned in_flight;
 };
 
-/* Waiting and in flight in one pool, as one daemon reports it. */
+/* Requests waiting and in flight in one pool, as reported by one daemon. */
 struct mt_member_demand
 {
   char *pool;
   unsigned waiting;
   unsigned in_flight;
-  unsigned rate_milli; /* requests a second, times 1000, a moving mean */
+  unsigned rate_milli; /* requests per second, times 1000, a moving mean */
 };
 
-/* Whether this daemon itself gets through to another. */
+/* Whether this daemon can call another one directly. */
 enum mt_reach
 {
   MT_REACH_UNTRIED,
-  MT_REACH_YES, /* its last call was answered */
-  MT_REACH_NO,  /* its last call was not, though the member may be heard of through others */
+  MT_REACH_YES, /* the last call to the member was answered */
+  MT_REACH_NO,  /* the last call failed, though heartbeats may arrive through others */
 };
 
 struct mt_member
@@ -49,17 +50,17 @@
   char *name;
   char *zone;
   char *address;             /* IP:PORT of its peer listener */
-  uint64_t incarnation;      /* a restart under the same name has a higher one */
-  uint64_t heartbeat;        /* grows with each of its own heartbeats */
-  int64_t heartbeat_seen_us; /* when this daemon last saw it grow, on the membership's own clock */
-  int64_t heartbeat_age_us;  /* since then; up to date in what a visitor or a search gets */
-  bool leaving;              /* it stops gracefully */
+  uint64_t incarnation;      /* higher after a restart under the same name */
+  uint64_t heartbeat;        /* number of its newest heartbeat */
+  int64_t heartbeat_seen_us; /* when heartbeat last grew here, on the membership's own clock */
+  int64_t heartbeat_age_us;  /* time since then; updated before a member is returned or visited */
+  bool leaving;              /* stopping gracefully */
   enum mt_reach reach;
   uint64_t tables_version;
   uint64_t assign_version; /* assignment document in force, 0 for none */
-  /* Only from members of this daemon's own data centre; empty otherwise. A minion or pool that is
-   * not listed had nothing. */
-  uint64_t loads_assign_version; /* the assignment in force when the loads were taken */
+  /* Only for members of this daemon's own data centre; empty otherwise. A minion or pool that is
+   * not listed has no load. */
+  uint64_t loads_assign_version; /* assignment document in force when the loads were read */
   struct mt_member_load *loads;
   size_t n_loads;
   struct mt_member_demand *demands;
@@ -68,29 +69,29 @@
 
 enum mt_membership_event
 {
-  MT_MEMBER_JOINED,         /* first heard of, heard of again after removal, or restarted */
-  MT_MEMBER_SUSPECTED,      /* silent for the suspicion time */
-  MT_MEMBER_RECOVERED,      /* suspected, and its heartbeat grew again */
-  MT_MEMBER_REMOVED,        /* silent for the removal time, or done leaving */
-  MT_MEMBER_LEAVING,        /* told that it stops */
-  MT_MEMBER_DUPLICATE_NAME, /* two processes beat under one name */
+  MT_MEMBER_JOINED,         /* new, back after removal, or restarted */
+  MT_MEMBER_SUSPECTED,      /* no heartbeat for MT_MEMBERSHIP_SUSPECT_US */
+  MT_MEMBER_RECOVERED,      /* was suspected, and its heartbeat grew again */
+  MT_MEMBER_REMOVED,        /* no heartbeat for MT_MEMBERSHIP_REMOVE_US, or finished leaving */
+  MT_MEMBER_LEAVING,        /* announced that it stops */
+  MT_MEMBER_DUPLICATE_NAME, /* two processes send heartbeats under one name */
 };
 
 struct mt_membership_callbacks
 {
   const char *name;
   const char *description;
-  /* Called inside the membership's own calls; the pointer is not kept. */
+  /* Called from within the membership's functions; member is valid only during the call. */
   void (*changed) (void *ctx, enum mt_membership_event event, const struct mt_member *member);
 };
 
 struct mt_membership_options
 {
   const struct mt_clock *clock;
-  const char *name; /* copied, as the next two */
+  const char *name; /* name, zone and address are copied */
   const char *zone;
   const char *address;
-  uint64_t incarnation;                            /* wall time at start in microseconds serves */
+  uint64_t incarnation; /* for example the wall time at start, in microseconds */
   const struct mt_membership_callbacks *callbacks; /* or NULL */
   void *ctx;
 };
@@ -100,47 +101,50 @@
 struct mt_membership *mt_membership_create (const struct mt_membership_options *options);
 void mt_membership_destroy (struct mt_membership *membership);
 
-/* This daemon's own news, told with its next heartbeat. Versions never go down. */
+/* Sets this daemon's versions, published with its next heartbeat. Versions never decrease. */
 void
 mt_membership_set_versions (struct mt_membership *membership, uint64_t tables, uint64_t assign);
 void mt_membership_set_leaving (struct mt_membership *membership);
-/* Copies what is not zero. What is published is bounded in bytes a second, see docs/membership.md;
- * a changed assignment version is published at once, since drains wait for it. */
+/* Sets this daemon's load report. Entries that are not all zero are copied, the others left out.
+ * Publishing is limited in bytes per second, see docs/membership.md; a changed assignment version
+ * is published at once, since drains wait for it. */
 void mt_membership_set_loads (struct mt_membership *membership,
                               const struct mt_member_load *loads,
                               size_t n_loads,
                               const struct mt_member_demand *demands,
                               size_t n_demands);
-/* One heartbeat of this daemon's own; judges the others' silence. */
+/* Advances this daemon's own heartbeat; suspects and removes silent members. */
 void mt_membership_heartbeat (struct mt_membership *membership);
 
-/* The three steps of one exchange. Each result is malloced, the caller frees it. */
+/* The three steps of one gossip exchange. Returned messages are malloced; the caller frees them. */
 char *mt_membership_make_request (struct mt_membership *membership, size_t *len);
-/* Takes what the ask tells and answers what is newer here; NULL with an error for a bad ask. */
+/* Merges a request and returns a response with everything that is newer here. Returns NULL and sets
+ * error if the request is invalid. */
 char *mt_membership_handle_request (struct mt_membership *membership,
-                                    struct mt_str ask,
+                                    struct mt_str request,
                                     size_t *len,
                                     GError **error);
-/* Takes an answer; nothing of a bad one is taken. *from is the g_freed name of who answered. */
+/* Merges a response; an invalid one is rejected as a whole. *responder is set to the responder's
+ * name; the caller g_frees it. */
 bool mt_membership_handle_response (struct mt_membership *membership,
-                                    struct mt_str answer,
-                                    char **from,
+                                    struct mt_str response,
+                                    char **responder,
                                     GError **error);
-/* How a call of this daemon's own to the member ended. */
+/* Records the result of this daemon's own call to a member. */
 void mt_membership_record_call (struct mt_membership *membership, const char *name, bool ok);
 
-/* Addresses to ask next, each g_freed: the members in turn, so that each is called within
- * members/count rounds; now and then also one that was removed, to find the other side of a cut
- * that has healed. Returns how many. */
+/* Stores up to count addresses to call next, each to be g_freed, and returns their number. Members
+ * are called in turn, so that each is called within members/count rounds. Now and then a removed
+ * member is called as well, to find the other side of a network partition that has healed. */
 size_t mt_membership_pick_peers (struct mt_membership *membership, char **out, size_t count);
 
 /* The member, or NULL; valid until the next call that changes the membership. */
 const struct mt_member *mt_membership_find (struct mt_membership *membership, const char *name);
 const struct mt_member *mt_membership_self (struct mt_membership *membership);
-/* Heard of within the suspicion time, one that is leaving included; this daemon itself always is.
- */
+/* Whether a heartbeat arrived within MT_MEMBERSHIP_SUSPECT_US. Members that are leaving count too;
+ * this daemon itself is always alive. */
 bool mt_membership_is_alive (const struct mt_member *member);
-/* All members, dead ones that are not yet removed included, in the order of their names. */
+/* Visits all members in the order of their names, including dead ones that are not yet removed. */
 void mt_membership_each (struct mt_membership *membership,
                          void (*visit) (void *ctx, const struct mt_member *member),
                          void *ctx);
