--- a/tests/membership/prop_membership.cpp
+++ b/tests/membership/prop_membership.cpp
@@ -1,4 +1,4 @@
-// Heartbeats in any order, lost, repeated and late: what each daemon says of the others.
+// Heartbeats in any order, lost, repeated and late: what each daemon shows of the others.
 #include <rapidcheck.h>
 
 #include <map>
@@ -47,25 +47,25 @@
   }
 
   Bytes
-  ask ()
+  make_request ()
   {
     size_t len = 0;
     char *bytes = mt_membership_make_request (m, &len);
-    return own (bytes, len);
+    return to_bytes (bytes, len);
   }
   Bytes
-  answer (const Bytes &ask)
+  handle_request (const Bytes &request)
   {
     size_t len = 0;
-    char *bytes
-        = mt_membership_handle_request (m, mt_str{ ask.data (), ask.size () }, &len, nullptr);
-    return own (bytes, len);
+    char *bytes = mt_membership_handle_request (m, mt_str{ request.data (), request.size () }, &len,
+                                                nullptr);
+    return to_bytes (bytes, len);
   }
   void
-  take (const Bytes &answer)
+  handle_response (const Bytes &response)
   {
-    RC_ASSERT (mt_membership_handle_response (m, mt_str{ answer.data (), answer.size () }, nullptr,
-                                              nullptr));
+    RC_ASSERT (mt_membership_handle_response (m, mt_str{ response.data (), response.size () },
+                                              nullptr, nullptr));
   }
   bool
   knows (unsigned number)
@@ -73,13 +73,13 @@
     return mt_membership_find (m, ("daemon-" + std::to_string (number)).c_str ()) != nullptr;
   }
 
-  // Notes what is shown of each member, and fails where a heartbeat or version went back.
+  // Records what is shown of each member; fails if a heartbeat or a version decreased.
   void
-  watch ()
+  check_progress ()
   {
-    mt_membership_each (m, watch_member, this);
+    mt_membership_each (m, check_member, this);
   }
-  // All that is shown, as one text.
+  // Everything that is shown, as one string.
   std::string
   state ()
   {
@@ -94,14 +94,14 @@
 
 private:
   static Bytes
-  own (char *bytes, size_t len)
+  to_bytes (char *bytes, size_t len)
   {
     Bytes out (bytes, len);
     free (bytes);
     return out;
   }
   static void
-  watch_member (void *ctx, const mt_member *member)
+  check_member (void *ctx, const mt_member *member)
   {
     auto *self = static_cast<Node *> (ctx);
     Seen &seen = self->seen_[member->name];
@@ -155,13 +155,14 @@
   }
 
   unsigned
-  any ()
+  pick_index ()
   {
     return *rc::gen::inRange<unsigned> (0, nodes.size ());
   }
-  // One second: everyone beats and asks two others, each message is lost with lose/100.
+  // One second: every node sends a heartbeat and calls two others; each message is lost with a
+  // probability of loss_percent/100.
   void
-  second (unsigned lose)
+  run_second (unsigned loss_percent)
   {
     mt_clock_manual_advance (clock, MT_SECOND);
     for (auto &node : nodes)
@@ -169,19 +170,19 @@
         mt_membership_heartbeat (node->m);
     for (unsigned i = 0; i < nodes.size (); i++)
       for (unsigned k = 0; k < 2 && nodes[i]; k++)
-        exchange (i, (i + 1 + random () % (nodes.size () - 1)) % nodes.size (), lose);
+        exchange (i, (i + 1 + random () % (nodes.size () - 1)) % nodes.size (), loss_percent);
     for (auto &node : nodes)
       if (node)
-        node->watch ();
+        node->check_progress ();
   }
   void
-  exchange (unsigned i, unsigned j, unsigned lose)
+  exchange (unsigned i, unsigned j, unsigned loss_percent)
   {
-    if (!nodes[j] || random () % 100 < lose)
+    if (!nodes[j] || random () % 100 < loss_percent)
       return;
-    const Bytes answer = nodes[j]->answer (nodes[i]->ask ());
-    if (random () % 100 >= lose)
-      nodes[i]->take (answer);
+    const Bytes response = nodes[j]->handle_request (nodes[i]->make_request ());
+    if (random () % 100 >= loss_percent)
+      nodes[i]->handle_response (response);
   }
   unsigned
   random ()
@@ -196,16 +197,16 @@
 };
 
 void
-versions_never_go_back ()
+versions_never_decrease ()
 {
   Fleet fleet (*rc::gen::inRange (2u, 6u));
-  std::vector<Bytes> asks;
-  std::vector<Bytes> answers;
+  std::vector<Bytes> requests;
+  std::vector<Bytes> responses;
   const auto steps = *rc::gen::inRange (10, 120);
 
   for (int i = 0; i < steps; i++)
     {
-      Node &node = *fleet.nodes[fleet.any ()];
+      Node &node = *fleet.nodes[fleet.pick_index ()];
 
       switch (*rc::gen::inRange (0, 6))
         {
@@ -217,63 +218,63 @@
           mt_membership_set_versions (node.m, *rc::gen::inRange (0, 50), 0);
           break;
         case 2:
-          asks.push_back (node.ask ());
+          requests.push_back (node.make_request ());
           break;
-        case 3: // any ask so far, late or for the second time
-          if (!asks.empty ())
-            answers.push_back (node.answer (*rc::gen::elementOf (asks)));
+        case 3: // any earlier request, late or repeated
+          if (!requests.empty ())
+            responses.push_back (node.handle_request (*rc::gen::elementOf (requests)));
           break;
         default:
-          if (!answers.empty ())
-            node.take (*rc::gen::elementOf (answers));
+          if (!responses.empty ())
+            node.handle_response (*rc::gen::elementOf (responses));
           break;
         }
-      node.watch ();
+      node.check_progress ();
     }
 }
 
 void
-merges_commute_and_repeat ()
+merges_commute_and_are_idempotent ()
 {
   Fleet fleet (4);
-  std::vector<Bytes> news;
+  std::vector<Bytes> messages;
   const auto steps = *rc::gen::inRange (1, 30);
 
   for (int i = 0; i < steps; i++)
     {
-      Node &node = *fleet.nodes[fleet.any ()];
+      Node &node = *fleet.nodes[fleet.pick_index ()];
       const mt_member_load load = { const_cast<char *> ("minion"), *rc::gen::inRange (1u, 8u) };
 
       mt_membership_set_versions (node.m, *rc::gen::inRange (0, 50), 0);
       mt_membership_set_loads (node.m, &load, 1, nullptr, 0);
       mt_membership_heartbeat (node.m);
-      fleet.exchange (fleet.any (), fleet.any (), 0);
-      // A stranger's ask is answered with all that the node knows.
-      news.push_back (node.answer (Node (100, fleet.clock).ask ()));
+      fleet.exchange (fleet.pick_index (), fleet.pick_index (), 0);
+      // A request of an unknown daemon is answered with all that the node knows.
+      messages.push_back (node.handle_request (Node (100, fleet.clock).make_request ()));
     }
   Node one (200, fleet.clock);
   Node two (200, fleet.clock);
-  for (const auto &bytes : news)
-    one.take (bytes);
-  // The same in another order, and some of it twice.
-  std::vector<Bytes> mixed = news;
+  for (const auto &bytes : messages)
+    one.handle_response (bytes);
+  // The same messages in another order, and some of them twice.
+  std::vector<Bytes> mixed = messages;
   for (size_t i = mixed.size (); i > 1; i--)
     std::swap (mixed[i - 1], mixed[*rc::gen::inRange<size_t> (0, i)]);
   for (const auto &bytes : mixed)
-    two.take (bytes);
-  for (const auto &bytes : news)
+    two.handle_response (bytes);
+  for (const auto &bytes : messages)
     if (*rc::gen::arbitrary<bool> ())
-      two.take (bytes);
+      two.handle_response (bytes);
   RC_ASSERT (one.state () == two.state ());
 }
 
-// Each daemon passes a last heartbeat on for the suspicion time at most, and it can grow only once
-// at each: hence the bound. A dead member that was removed must not come back either.
+// Each daemon sends a last heartbeat on for at most the suspicion time, and it can grow only once
+// at each daemon: hence the bound. A dead member that was removed must not come back either.
 void
-dead_are_removed_and_living_kept ()
+dead_are_removed_and_living_stay ()
 {
   const auto n = *rc::gen::inRange (3u, 9u);
-  const auto lose = *rc::gen::inRange (0u, 40u);
+  const auto loss_percent = *rc::gen::inRange (0u, 40u);
   Fleet fleet (n);
   const unsigned bound = (MT_MEMBERSHIP_REMOVE_US + (n - 1) * MT_MEMBERSHIP_SUSPECT_US) / MT_SECOND;
 
@@ -281,7 +282,7 @@
   for (unsigned i = 1; i < n; i++)
     fleet.exchange (i, 0, 0);
   for (unsigned i = 0; i < 60; i++)
-    fleet.second (lose);
+    fleet.run_second (loss_percent);
   for (auto &node : fleet.nodes)
     {
       RC_ASSERT (!node->removed_early);
@@ -290,30 +291,30 @@
     }
   fleet.nodes[n - 1].reset ();
   for (unsigned i = 0; i < bound + 1; i++)
-    fleet.second (lose);
+    fleet.run_second (loss_percent);
   for (unsigned i = 0; i < 40; i++)
     {
       for (unsigned k = 0; k + 1 < n; k++)
         RC_ASSERT (!fleet.nodes[k]->knows (n - 1));
-      fleet.second (lose);
+      fleet.run_second (loss_percent);
     }
   for (unsigned k = 0; k + 1 < n; k++)
     RC_ASSERT (mt_membership_count (fleet.nodes[k]->m) == n - 1);
 }
 
-// Whatever was paused, for however long, nobody who goes on beating is dropped by it for that.
+// After a pause of all daemons, however long, none may be removed that goes on sending heartbeats.
 void
-a_pause_drops_nobody ()
+pause_removes_nobody ()
 {
   Fleet fleet (3);
 
   for (unsigned i = 1; i < 3; i++)
     fleet.exchange (i, 0, 0);
   for (unsigned i = 0; i < 10; i++)
-    fleet.second (0);
+    fleet.run_second (0);
   mt_clock_manual_advance (fleet.clock, *rc::gen::inRange<int64_t> (0, 1000) * MT_SECOND);
   for (unsigned i = 0; i < 10; i++)
-    fleet.second (0);
+    fleet.run_second (0);
   for (auto &node : fleet.nodes)
     RC_ASSERT (node->removed == 0);
 }
@@ -325,10 +326,10 @@
 {
   bool ok = true;
 
-  ok &= rc::check ("heartbeats and versions never go back", versions_never_go_back);
-  ok &= rc::check ("merges commute and repeat", merges_commute_and_repeat);
+  ok &= rc::check ("heartbeats and versions never go back", versions_never_decrease);
+  ok &= rc::check ("merges commute and repeat", merges_commute_and_are_idempotent);
   ok &= rc::check ("the dead are removed in bounded time and the living kept",
-                   dead_are_removed_and_living_kept);
-  ok &= rc::check ("a pause drops nobody", a_pause_drops_nobody);
+                   dead_are_removed_and_living_stay);
+  ok &= rc::check ("a pause drops nobody", pause_removes_nobody);
   return ok ? 0 : 1;
 }
--- a/tests/membership/test_membership.c
+++ b/tests/membership/test_membership.c
@@ -24,7 +24,7 @@
 }
 
 static const struct mt_membership_callbacks count_events
-    = { "count", "counts the events of each kind", count_event };
+    = { "count", "counts events by kind", count_event };
 
 static struct daemon *
 start (const char *name, const char *zone, uint64_t incarnation)
@@ -51,7 +51,7 @@
 }
 
 static void
-pass (struct daemon *d, unsigned seconds)
+advance (struct daemon *d, unsigned seconds)
 {
   for (unsigned i = 0; i < seconds; i++)
     {
@@ -63,19 +63,19 @@
 static size_t
 exchange (struct daemon *from, struct daemon *to)
 {
-  size_t ask_len;
+  size_t request_len;
   size_t len;
   g_autoptr (GError) error = NULL;
-  char *ask = mt_membership_make_request (from->membership, &ask_len);
-  char *answer = mt_membership_handle_request (to->membership, (struct mt_str){ ask, ask_len },
-                                               &len, &error);
-
-  assert_non_null (answer);
-  assert_true (
-      mt_membership_handle_response (from->membership, (struct mt_str){ answer, len }, NULL, NULL));
-  free (ask);
-  free (answer);
-  return ask_len + len;
+  char *request = mt_membership_make_request (from->membership, &request_len);
+  char *response = mt_membership_handle_request (
+      to->membership, (struct mt_str){ request, request_len }, &len, &error);
+
+  assert_non_null (response);
+  assert_true (mt_membership_handle_response (from->membership, (struct mt_str){ response, len },
+                                              NULL, NULL));
+  free (request);
+  free (response);
+  return request_len + len;
 }
 
 static const struct mt_member *
@@ -84,11 +84,10 @@
   return mt_membership_find (d->membership, name);
 }
 
-/* The link from a to c is cut in one direction or both; b reaches both. The operator has to see
- * that c is there, and that a can't call it: work must not be forwarded into the cut, and c must
- * not be taken for dead. */
+/* The link from a to c is cut in one direction or both; b reaches both. a must show c as alive but
+ * not reachable: work must not be forwarded over the cut link, and c must not be taken for dead. */
 static void
-test_heard_through_a_third_is_there_but_not_reachable (void **state)
+test_member_heard_through_third_is_alive_but_unreachable (void **state)
 {
   struct daemon *a = start ("a", "west", 1);
   struct daemon *b = start ("b", "east", 1);
@@ -96,9 +95,9 @@
 
   for (int i = 0; i < 60; i++)
     {
-      pass (a, 1);
-      pass (b, 1);
-      pass (c, 1);
+      advance (a, 1);
+      advance (b, 1);
+      advance (c, 1);
       exchange (c, b);
       exchange (a, b);
       mt_membership_record_call (a->membership, "b", true);
@@ -114,21 +113,21 @@
   stop (c);
 }
 
-/* a is stopped for an hour (SIGSTOP) and goes on. Were its silence counted against the others it
- * would drop them all and take every slot of the data centre for itself. They dropped it meanwhile,
- * and take it back at its next heartbeat, without a restart. */
+/* a is stopped for an hour (SIGSTOP) and resumes. It must not count its own pause as the others'
+ * silence, or it would drop them all and take every slot of the data centre for itself. The others
+ * removed it meanwhile, and must add it again at its next heartbeat, without a restart. */
 static void
-test_paused_daemon_comes_back_without_harm (void **state)
+test_paused_daemon_drops_nobody_and_rejoins (void **state)
 {
   struct daemon *a = start ("a", "west", 1);
   struct daemon *b = start ("b", "west", 1);
 
   exchange (a, b);
   exchange (a, b);
-  pass (b, 31);
+  advance (b, 31);
   assert_null (find (b, "a"));
   mt_clock_manual_advance (a->clock, 3600 * MT_SECOND);
-  pass (a, 1);
+  advance (a, 1);
   assert_true (mt_membership_is_alive (find (a, "b")));
   exchange (a, b);
   assert_non_null (find (b, "a"));
@@ -138,7 +137,8 @@
   stop (b);
 }
 
-/* The dead one's last heartbeat is still held by a slower daemon: it must not bring it back. */
+/* A slower daemon still holds the last heartbeat of a dead member: it must not revive the member
+ * where it was removed. */
 static void
 test_old_heartbeat_does_not_revive_a_removed_member (void **state)
 {
@@ -149,7 +149,7 @@
   exchange (c, a);
   exchange (b, a);
   stop (c);
-  pass (a, 31);
+  advance (a, 31);
   assert_null (find (a, "c"));
   exchange (a, b);
   assert_null (find (a, "c"));
@@ -158,10 +158,10 @@
   stop (b);
 }
 
-/* A daemon that starts after the death must not hear of the dead one and count its silence anew:
- * with restarts going on, the dead one would wander among the newcomers without end. */
+/* A daemon that starts after the death must not hear of the dead member and count its silence anew:
+ * with repeated restarts, the dead member would be passed on among new daemons without end. */
 static void
-test_dead_member_is_not_passed_on (void **state)
+test_dead_member_is_not_sent_on (void **state)
 {
   struct daemon *b = start ("b", "west", 1);
   struct daemon *c = start ("c", "west", 1);
@@ -169,7 +169,7 @@
 
   exchange (b, c);
   stop (c);
-  pass (b, 6);
+  advance (b, 6);
   exchange (newcomer, b);
   assert_non_null (find (newcomer, "b"));
   assert_null (find (newcomer, "c"));
@@ -177,10 +177,10 @@
   stop (newcomer);
 }
 
-/* Two processes run under one name, such as by a copied settings file. Each is told, and so is
- * every other daemon; a plain restart is not taken for that. */
+/* Two processes run under one name, for example with a copied settings file. Both and every other
+ * daemon must report it; a plain restart must not be reported. */
 static void
-test_two_processes_under_one_name_is_an_event (void **state)
+test_two_processes_under_one_name_are_reported (void **state)
 {
   struct daemon *first = start ("twin", "west", 10);
   struct daemon *second = start ("twin", "west", 20);
@@ -191,8 +191,8 @@
   assert_int_equal (other->events[MT_MEMBER_DUPLICATE_NAME], 0);
   for (int i = 0; i < 4; i++)
     {
-      pass (first, 1);
-      pass (second, 1);
+      advance (first, 1);
+      advance (second, 1);
       exchange (first, other);
       exchange (second, other);
     }
@@ -204,10 +204,10 @@
   stop (other);
 }
 
-/* The machine's clock was set back between two lives: the new life's incarnation is the lower one
- * and nobody listens to it, until it has noticed that the other does not beat. */
+/* The machine's clock is set back before a restart: the new incarnation is the lower one and is
+ * ignored, until the daemon notices that the higher one sends no heartbeats and raises its own. */
 static void
-test_restart_with_the_clock_set_back_is_heard (void **state)
+test_restart_with_clock_set_back_is_accepted (void **state)
 {
   struct daemon *before = start ("a", "west", 1000);
   struct daemon *other = start ("other", "west", 1);
@@ -220,8 +220,8 @@
   for (int i = 0; i < 8; i++)
     {
       exchange (after, other);
-      pass (after, 1);
-      pass (other, 1);
+      advance (after, 1);
+      advance (other, 1);
     }
   exchange (after, other);
   assert_true (find (other, "a")->tables_version == 7);
@@ -232,18 +232,18 @@
 }
 
 static void
-test_leaving_is_told_and_ends_soon (void **state)
+test_leaving_is_reported_and_member_removed_soon (void **state)
 {
   struct daemon *a = start ("a", "west", 1);
   struct daemon *b = start ("b", "west", 1);
 
   exchange (a, b);
   mt_membership_set_leaving (a->membership);
-  pass (a, 1);
+  advance (a, 1);
   exchange (a, b);
   assert_true (find (b, "a")->leaving);
   assert_int_equal (b->events[MT_MEMBER_LEAVING], 1);
-  pass (b, 6);
+  advance (b, 6);
   assert_null (find (b, "a"));
   assert_int_equal (b->events[MT_MEMBER_SUSPECTED], 0);
   stop (a);
@@ -251,7 +251,7 @@
 }
 
 static void
-report (struct daemon *d, unsigned n, unsigned in_flight)
+set_loads (struct daemon *d, unsigned n, unsigned in_flight)
 {
   struct mt_member_load *loads = g_new0 (struct mt_member_load, n);
   struct mt_member_demand demand = { "quotes", 3, 4, 5000 };
@@ -271,8 +271,8 @@
   struct daemon *b = start ("b", "west", 1);
   struct daemon *c = start ("c", "east", 1);
 
-  report (a, 450, 2);
-  pass (a, 1);
+  set_loads (a, 450, 2);
+  advance (a, 1);
   exchange (b, a);
   exchange (c, a);
   assert_int_equal (find (b, "a")->n_loads, 450);
@@ -285,10 +285,11 @@
   stop (c);
 }
 
-/* A report of 1,000 minions that changes each second is not told each second: the bytes a second
- * stay bounded. A new assignment is told at once, since a drain waits for it. */
+/* A report of 1,000 minions that changes every second must not be published every second: the bytes
+ * per second are bounded. A new assignment version must be published at once, since a drain waits
+ * for it. */
 static void
-test_load_reports_keep_their_budget (void **state)
+test_load_reports_are_rate_limited (void **state)
 {
   struct daemon *a = start ("a", "west", 1);
   struct daemon *b = start ("b", "west", 1);
@@ -297,16 +298,16 @@
   exchange (a, b);
   for (unsigned i = 0; i < 60; i++)
     {
-      report (a, 1000, 1 + i % 7);
-      pass (a, 1);
-      pass (b, 1);
+      set_loads (a, 1000, 1 + i % 7);
+      advance (a, 1);
+      advance (b, 1);
       bytes += exchange (b, a);
     }
   assert_true (bytes < 60 * 2048); /* half of what a daemon may receive: there are two */
   assert_true (bytes > 60 * 1024);
   mt_membership_set_versions (a->membership, 0, 9);
-  report (a, 1, 1);
-  pass (a, 1);
+  set_loads (a, 1, 1);
+  advance (a, 1);
   exchange (b, a);
   assert_true (find (b, "a")->loads_assign_version == 9);
   assert_int_equal (find (b, "a")->n_loads, 1);
@@ -315,17 +316,18 @@
 }
 
 static void
-test_hostile_heartbeats_are_refused_whole (void **state)
+test_invalid_heartbeats_are_rejected (void **state)
 {
   static const struct mt_str bad[] = {
     { "", 0 },                                                /* nothing */
-    { "\x94\xa1x\xa1z\x90", 6 },                              /* cut */
+    { "\x94\xa1x\xa1z\x90", 6 },                              /* truncated */
     { "\x94\xa0\xa1z\x90\x90", 5 },                           /* no name */
-    { "\x94\xa1x\xa1z\x91\x01\x90", 7 },                      /* beat of one field */
+    { "\x94\xa1x\xa1z\x91\x01\x90", 7 },                      /* heartbeat of one field */
     { "\x94\xa1x\xa1z\x96\x01\xff\x00\x00\x00\x00\x90", 12 }, /* heartbeat -1 */
     { "\x94\xa1x\xa1z\x90\x91\x98\x01\x01\x00\x00\x00\x00\x94\xa1n\xa1z\xa1q\x01\xc0",
-      22 }, /* key does not fit the name */
-    { "\x94\xa1x\xa1z\x90\x91\x98\x01\x01\x00\x00\x00\x00\xc0\xc4\x01\xc1", 17 }, /* bad load */
+      22 }, /* key does not match the name */
+    { "\x94\xa1x\xa1z\x90\x91\x98\x01\x01\x00\x00\x00\x00\xc0\xc4\x01\xc1",
+      17 }, /* invalid load report */
   };
   struct daemon *a = start ("a", "west", 1);
 
@@ -345,16 +347,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_heard_through_a_third_is_there_but_not_reachable),
-    cmocka_unit_test (test_paused_daemon_comes_back_without_harm),
+    cmocka_unit_test (test_member_heard_through_third_is_alive_but_unreachable),
+    cmocka_unit_test (test_paused_daemon_drops_nobody_and_rejoins),
     cmocka_unit_test (test_old_heartbeat_does_not_revive_a_removed_member),
-    cmocka_unit_test (test_dead_member_is_not_passed_on),
-    cmocka_unit_test (test_two_processes_under_one_name_is_an_event),
-    cmocka_unit_test (test_restart_with_the_clock_set_back_is_heard),
-    cmocka_unit_test (test_leaving_is_told_and_ends_soon),
+    cmocka_unit_test (test_dead_member_is_not_sent_on),
+    cmocka_unit_test (test_two_processes_under_one_name_are_reported),
+    cmocka_unit_test (test_restart_with_clock_set_back_is_accepted),
+    cmocka_unit_test (test_leaving_is_reported_and_member_removed_soon),
     cmocka_unit_test (test_loads_stay_in_the_data_centre),
-    cmocka_unit_test (test_load_reports_keep_their_budget),
-    cmocka_unit_test (test_hostile_heartbeats_are_refused_whole),
+    cmocka_unit_test (test_load_reports_are_rate_limited),
+    cmocka_unit_test (test_invalid_heartbeats_are_rejected),
   };
 
   return cmocka_run_group_tests_name ("membership", tests, NULL, NULL);
