--- a/core/membership/wire.c
+++ b/core/membership/wire.c
@@ -334,8 +334,8 @@
   if (bytes.len > MT_MEMBERSHIP_MAX_MESSAGE_BYTES)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
-                   "heartbeat of %zu bytes, the limit is %d; check the sender", bytes.len,
-                   MT_MEMBERSHIP_MAX_MESSAGE_BYTES);
+                   "heartbeat message of %zu bytes exceeds the limit of %d; check the sender",
+                   bytes.len, MT_MEMBERSHIP_MAX_MESSAGE_BYTES);
       return NULL;
     }
   if (!mt_pack_read (bytes, &unpacked, error))
@@ -347,6 +347,6 @@
     return message;
   mt_gossip_message_destroy (message);
   g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-               "not a heartbeat; check that the sender runs the same version");
+               "invalid heartbeat message; check that the sender runs the same version");
   return NULL;
 }
--- a/core/once/batch.c
+++ b/core/once/batch.c
@@ -124,10 +124,9 @@
       msgpack_unpacked_destroy (&unpacked);
     }
   if (!ok)
-    g_set_error (
-        error, MT_ERROR, MT_ERROR_SYNTAX,
-        "a batch of claims of %zu bytes is not of format %d; if a newer medlartrackd wrote "
-        "it, update this one",
-        bytes.len, VERSION);
+    g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
+                 "claim batch of %zu bytes is not in format %d; if a newer medlartrackd wrote "
+                 "it, update this one",
+                 bytes.len, VERSION);
   return ok;
 }
--- a/core/once/once_view.c
+++ b/core/once/once_view.c
@@ -113,7 +113,7 @@
     }
   if (call->value.found && !mt_once_parse_seq (call->value.data, &floor))
     {
-      mt_once_set_read_error (once, "the floor of the log of claims is not a number; restore it");
+      mt_once_set_read_error (once, "the floor of the claim log is not a number; restore it");
       return;
     }
   if (floor > once->next_seq)
@@ -170,7 +170,7 @@
       if (seq != once->next_seq)
         {
           mt_once_set_read_error (
-              once, "the log of claims has a gap; the store lost writes, see docs/platform.md");
+              once, "the claim log has a gap; the store lost writes, see docs/platform.md");
           return false;
         }
       if (!mt_once_apply_value (once, value, seq))
@@ -193,7 +193,7 @@
   mt_once_discard_view (once);
   if (!find_listed_floor (once, call->list, &floor, &known))
     {
-      mt_once_set_read_error (once, "the floor of the log of claims is not a number; restore it");
+      mt_once_set_read_error (once, "the floor of the claim log is not a number; restore it");
       return;
     }
   once->floor = floor;
--- a/core/path/balance.c
+++ b/core/path/balance.c
@@ -111,13 +111,13 @@
 
 const struct mt_balance mt_balance_least_in_flight = {
   .name = "least-in-flight",
-  .description = "the minion with the least known in flight",
+  .description = "the minion with the fewest known requests in flight",
   .pick = pick_least_in_flight,
 };
 
 const struct mt_balance mt_balance_two_choices = {
   .name = "two-choices",
-  .description = "of two minions drawn at random the one with less known in flight",
+  .description = "of two minions drawn at random, the one with fewer known requests in flight",
   .pick = pick_two_choices,
 };
 
