--- a/tests/scheduler/property_quota.cpp
+++ b/tests/scheduler/property_quota.cpp
@@ -1,7 +1,7 @@
-/* Two pools place the jobs of two workspaces at the same moment. Leaders of pools and of the fleet
- * die, messages between them are lost or late, workers fall silent and carry orders out late,
- * quotas shrink and grow. Nobody ever has more running than its quota and the overrun allow, and
- * once all that is over whatever was accepted is done. */
+/* Two pools place jobs of two workspaces concurrently. Leaders of pools and of the fleet die,
+ * messages between them are lost or late, workers fall silent or execute orders late, quotas shrink
+ * and grow. No workspace ever runs more than its quota and the permitted overrun. Once all faults
+ * are over, every accepted job completes. */
 #include <glib.h>
 
 extern "C"
@@ -23,18 +23,18 @@
 
 constexpr unsigned pools = 2;
 constexpr unsigned workspaces = 2;
-constexpr unsigned workers_each = 3;
-/* The largest is more than an even share of the least quota. */
-constexpr int64_t unit_cpus[] = { 2000, 1000, 3000 };
+constexpr unsigned workers_per_pool = 3;
+/* The largest task exceeds an even share of the smallest quota. */
+constexpr int64_t task_cpus[] = { 2000, 1000, 3000 };
 constexpr int64_t task_ms = 700;
-constexpr int64_t least_quota = 4000;
-constexpr int64_t message_every_ms = 100;
-/* A configuration is in force everywhere so long after it was accepted. */
-constexpr int64_t in_force_ms = 3000;
-/* Every lease given to a silent worker is over, and all that waited has run. */
+constexpr int64_t min_quota = 4000;
+constexpr int64_t message_interval_ms = 100;
+/* Time from acceptance of a configuration until it is in force everywhere. */
+constexpr int64_t config_rollout_ms = 3000;
+/* Long enough for every lease of a silent worker to expire and all waiting tasks to run. */
 constexpr int64_t settle_ms = 60000;
 const char *const pool_names[pools + 1] = { "p0", "p1", nullptr };
-const char *const names[workspaces] = { "yard", "press" };
+const char *const workspace_names[workspaces] = { "yard", "press" };
 
 struct Job
 {
@@ -42,17 +42,17 @@
   unsigned pool;
   unsigned workspace;
   unsigned count;
-  int64_t unit_cpu;
+  int64_t task_cpu;
   bool cancelled;
 };
 
-/* A message under way to a pool, or its answer on the way back. */
+/* A grant message in transit to a pool. */
 struct Message
 {
   unsigned pool;
   struct mt_grant_message message;
   std::vector<struct mt_grant> rows;
-  int64_t arrives;
+  int64_t arrives_at;
 };
 
 enum class Step
@@ -60,35 +60,43 @@
   submit,
   surge,
   cancel,
-  disturb,
+  inject_fault,
   heal,
-  pool_dies,
-  fleet_dies,
-  cut,
-  late,
-  join,
+  pool_leader_dies,
+  fleet_leader_dies,
+  partition,
+  delay_messages,
+  reconnect,
   quota,
 };
 
 std::ostream &
 operator<< (std::ostream &out, Step step)
 {
-  static const char *const text[]
-      = { "submit",     "surge", "cancel", "disturb", "heal", "pool_dies",
-          "fleet_dies", "cut",   "late",   "join",    "quota" };
-
-  return out << text[static_cast<int> (step)];
+  static const char *const step_names[] = { "submit",
+                                            "surge",
+                                            "cancel",
+                                            "inject_fault",
+                                            "heal",
+                                            "pool_leader_dies",
+                                            "fleet_leader_dies",
+                                            "partition",
+                                            "delay_messages",
+                                            "reconnect",
+                                            "quota" };
+
+  return out << step_names[static_cast<int> (step)];
 }
 
 struct Model
 {
   struct world *worlds[pools];
   struct mt_grants *grants = nullptr;
-  int64_t token = 0;
+  int64_t fleet_token = 0;
   int64_t quotas[workspaces] = { 16000, 12000 };
-  std::vector<std::pair<int64_t, int64_t>> in_force[workspaces]; /* quota, until */
+  std::vector<std::pair<int64_t, int64_t>> superseded_quotas[workspaces]; /* quota, valid until */
   bool unreachable[pools] = {};
-  int64_t delay[pools] = {};
+  int64_t delay_ms[pools] = {};
   std::vector<Message> sent;
   std::vector<Job> jobs;
   int64_t now = 0;
@@ -98,12 +106,12 @@
     for (auto &world : worlds)
       {
         world = world_create ();
-        for (unsigned i = 0; i < workers_each; i++)
+        for (unsigned i = 0; i < workers_per_pool; i++)
           world_add_worker (world, "r1");
         world->run_ms = task_ms;
       }
     now = worlds[0]->now;
-    begin_fleet ();
+    start_fleet_leader ();
     configure ();
   }
   ~Model ()
@@ -116,10 +124,10 @@
   Model &operator= (const Model &) = delete;
 
   void
-  begin_fleet ()
+  start_fleet_leader ()
   {
     mt_grants_destroy (grants);
-    grants = mt_grants_create (++token, now);
+    grants = mt_grants_create (++fleet_token, now);
     sent.clear ();
   }
 
@@ -132,7 +140,7 @@
       {
         struct mt_resources quota = { quotas[w], 0, 0 };
 
-        mt_workspaces_add (list, names[w], &quota, 0, nullptr);
+        mt_workspaces_add (list, workspace_names[w], &quota, 0, nullptr);
       }
     mt_grants_configure (grants, pool_names, list);
     mt_workspaces_destroy (list);
@@ -145,19 +153,19 @@
   {
     for (unsigned w = 0; w < workspaces; w++)
       {
-        struct mt_workspace_limits terms = { { quotas[w], 0, 0 }, 0, pools };
+        struct mt_workspace_limits limits = { { quotas[w], 0, 0 }, 0, pools };
 
-        mt_scheduler_set_workspace (worlds[pool]->sched, names[w], &terms);
+        mt_scheduler_set_workspace (worlds[pool]->sched, workspace_names[w], &limits);
       }
   }
 };
 
 struct mt_job_spec *
-spec_of (const Model &m, const Job &job)
+make_spec (const Model &m, const Job &job)
 {
-  struct mt_job_spec *spec = world_job (job.id.c_str (), job.count, job.unit_cpu, task_ms);
+  struct mt_job_spec *spec = world_job (job.id.c_str (), job.count, job.task_cpu, task_ms);
 
-  spec->workspace = g_strdup (names[job.workspace]);
+  spec->workspace = g_strdup (workspace_names[job.workspace]);
   spec->accepted_ms = m.now;
   return spec;
 }
@@ -167,10 +175,10 @@
 {
   const unsigned pool = draw % pools;
   const Job job = { "j" + std::to_string (m.jobs.size ()),   pool, draw / pools % workspaces, count,
-                    unit_cpus[draw % std::size (unit_cpus)], false };
+                    task_cpus[draw % std::size (task_cpus)], false };
 
   m.jobs.push_back (job);
-  world_submit (m.worlds[pool], spec_of (m, job));
+  world_submit (m.worlds[pool], make_spec (m, job));
 }
 
 void
@@ -185,13 +193,13 @@
 }
 
 void
-pool_dies (Model &m, unsigned pool)
+pool_leader_dies (Model &m, unsigned pool)
 {
   g_autoptr (GPtrArray) specs = g_ptr_array_new ();
 
   for (const Job &job : m.jobs)
     if (job.pool == pool)
-      g_ptr_array_add (specs, spec_of (m, job));
+      g_ptr_array_add (specs, make_spec (m, job));
   world_take_over (m.worlds[pool], specs);
   for (const Job &job : m.jobs)
     if (job.pool == pool && job.cancelled)
@@ -200,19 +208,19 @@
 }
 
 void
-disturb (struct world_worker *w, unsigned draw)
+inject_fault (struct world_worker *w, unsigned draw)
 {
   w->silent = draw % 4 == 0;
-  w->mute = draw % 4 == 1;
-  w->loses = draw % 4 == 2;
-  w->late_ms = draw % 4 == 3 ? 300 : 0;
+  w->drops_all_answers = draw % 4 == 1;
+  w->drops_order_answers = draw % 4 == 2;
+  w->order_delay_ms = draw % 4 == 3 ? 300 : 0;
 }
 
 void
 heal (struct world_worker *w)
 {
-  w->silent = w->mute = w->loses = w->unlisted = false;
-  w->late_ms = 0;
+  w->silent = w->drops_all_answers = w->drops_order_answers = w->drops_hold_answers = false;
+  w->order_delay_ms = 0;
 }
 
 void
@@ -220,15 +228,15 @@
 {
   const unsigned w = draw % workspaces;
 
-  m.in_force[w].push_back ({ m.quotas[w], m.now + in_force_ms });
-  m.quotas[w] = least_quota + static_cast<int64_t> (draw) * 20;
+  m.superseded_quotas[w].push_back ({ m.quotas[w], m.now + config_rollout_ms });
+  m.quotas[w] = min_quota + static_cast<int64_t> (draw) * 20;
   m.configure ();
 }
 
 void
-act (Model &m, Step step, unsigned draw)
+apply_step (Model &m, Step step, unsigned draw)
 {
-  struct world_worker *w = &m.worlds[draw % pools]->workers[draw / pools % workers_each];
+  struct world_worker *w = &m.worlds[draw % pools]->workers[draw / pools % workers_per_pool];
 
   switch (step)
     {
@@ -241,28 +249,28 @@
     case Step::cancel:
       cancel (m, draw);
       return;
-    case Step::disturb:
-      disturb (w, draw / 6);
+    case Step::inject_fault:
+      inject_fault (w, draw / 6);
       return;
     case Step::heal:
       heal (w);
       return;
-    case Step::pool_dies:
-      pool_dies (m, draw % pools);
+    case Step::pool_leader_dies:
+      pool_leader_dies (m, draw % pools);
       return;
-    case Step::fleet_dies:
-      m.begin_fleet ();
+    case Step::fleet_leader_dies:
+      m.start_fleet_leader ();
       m.configure ();
       return;
-    case Step::cut:
+    case Step::partition:
       m.unreachable[draw % pools] = true;
       return;
-    case Step::late:
-      m.delay[draw % pools] = draw / 2;
+    case Step::delay_messages:
+      m.delay_ms[draw % pools] = draw / 2;
       return;
-    case Step::join:
+    case Step::reconnect:
       m.unreachable[draw % pools] = false;
-      m.delay[draw % pools] = 0;
+      m.delay_ms[draw % pools] = 0;
       return;
     case Step::quota:
       change_quota (m, draw);
@@ -280,7 +288,7 @@
       Message message = { p,
                           mt_grants_next_message (m.grants, pool_names[p], m.now),
                           {},
-                          m.now + m.delay[p] * (m.now / message_every_ms % 2) };
+                          m.now + m.delay_ms[p] * (m.now / message_interval_ms % 2) };
 
       message.rows.assign (message.message.grants,
                            message.message.grants + message.message.n_grants);
@@ -301,7 +309,7 @@
   if (!mt_scheduler_apply_grants (sched, &message.message, m.now))
     return;
   n = mt_scheduler_accounts (sched, views, workspaces);
-  if (message.message.token == m.token && !m.unreachable[message.pool])
+  if (message.message.token == m.fleet_token && !m.unreachable[message.pool])
     mt_grants_acknowledge (m.grants, pool_names[message.pool], message.message.sequence, views, n,
                            m.now);
 }
@@ -309,19 +317,19 @@
 void
 deliver_messages (Model &m)
 {
-  std::vector<Message> due;
+  std::vector<Message> arrived;
 
   for (const Message &message : m.sent)
-    if (message.arrives <= m.now)
-      due.push_back (message);
+    if (message.arrives_at <= m.now)
+      arrived.push_back (message);
   m.sent.erase (std::remove_if (m.sent.begin (), m.sent.end (),
-                                [&m] (const Message &each) { return each.arrives <= m.now; }),
+                                [&m] (const Message &each) { return each.arrives_at <= m.now; }),
                 m.sent.end ());
-  for (Message &message : due)
+  for (Message &message : arrived)
     deliver (m, message);
 }
 
-/* ---- what holds ---- */
+/* ---- checks ---- */
 
 int64_t
 running_cpu (const Model &m, unsigned workspace)
@@ -337,7 +345,7 @@
           const auto job = std::find_if (m.jobs.begin (), m.jobs.end (),
                                          [&id] (const Job &each) { return each.id == id; });
 
-          sum += job != m.jobs.end () && job->workspace == workspace ? job->unit_cpu : 0;
+          sum += job != m.jobs.end () && job->workspace == workspace ? job->task_cpu : 0;
         }
   return sum;
 }
@@ -345,15 +353,15 @@
 int64_t
 highest_quota (const Model &m, unsigned workspace)
 {
-  int64_t most = m.quotas[workspace];
+  int64_t highest = m.quotas[workspace];
 
-  for (const auto &[quota, until] : m.in_force[workspace])
+  for (const auto &[quota, until] : m.superseded_quotas[workspace])
     if (until > m.now)
-      most = std::max (most, quota);
-  return most;
+      highest = std::max (highest, quota);
+  return highest;
 }
 
-/* A start brings no workspace above its quota, a tenth of it, and one task more. */
+/* No start takes a workspace above its quota plus a tenth of it plus one task. */
 void
 check_quotas (const Model &m, const int64_t before[workspaces])
 {
@@ -362,12 +370,12 @@
       const int64_t running = running_cpu (m, w);
 
       if (running > before[w])
-        RC_ASSERT (running <= highest_quota (m, w) * 11 / 10 + unit_cpus[2]);
+        RC_ASSERT (running <= highest_quota (m, w) * 11 / 10 + task_cpus[2]);
     }
 }
 
 void
-run (Model &m, int64_t ms)
+advance (Model &m, int64_t ms)
 {
   const int64_t until = m.now + ms;
 
@@ -377,7 +385,7 @@
 
       for (unsigned w = 0; w < workspaces; w++)
         before[w] = running_cpu (m, w);
-      if (m.now % message_every_ms == 0)
+      if (m.now % message_interval_ms == 0)
         send_messages (m);
       deliver_messages (m);
       for (auto *world : m.worlds)
@@ -393,41 +401,42 @@
   for (unsigned p = 0; p < pools; p++)
     {
       m.unreachable[p] = false;
-      m.delay[p] = 0;
-      for (unsigned i = 0; i < workers_each; i++)
+      m.delay_ms[p] = 0;
+      for (unsigned i = 0; i < workers_per_pool; i++)
         heal (&m.worlds[p]->workers[i]);
     }
-  run (m, settle_ms);
+  advance (m, settle_ms);
 }
 
 rc::Gen<Step>
-any_step ()
+generate_step ()
 {
   return rc::gen::weightedElement<Step> ({ { 3, Step::submit },
                                            { 4, Step::surge },
                                            { 1, Step::cancel },
-                                           { 1, Step::disturb },
+                                           { 1, Step::inject_fault },
                                            { 1, Step::heal },
-                                           { 2, Step::pool_dies },
-                                           { 2, Step::fleet_dies },
-                                           { 2, Step::cut },
-                                           { 1, Step::late },
-                                           { 2, Step::join },
+                                           { 2, Step::pool_leader_dies },
+                                           { 2, Step::fleet_leader_dies },
+                                           { 2, Step::partition },
+                                           { 1, Step::delay_messages },
+                                           { 2, Step::reconnect },
                                            { 1, Step::quota } });
 }
 
 int
 run_property ()
 {
-  bool good = rc::check ("no workspace runs more than its quota, and all is done in the end", [] {
-    const auto steps = *rc::gen::container<std::vector<std::tuple<Step, unsigned, int>>> (
-        rc::gen::tuple (any_step (), rc::gen::inRange (0U, 1000U), rc::gen::inRange (5, 1500)));
+  bool passed = rc::check ("no workspace exceeds its quota, and every accepted job completes", [] {
+    const auto steps
+        = *rc::gen::container<std::vector<std::tuple<Step, unsigned, int>>> (rc::gen::tuple (
+            generate_step (), rc::gen::inRange (0U, 1000U), rc::gen::inRange (5, 1500)));
     Model m;
 
     for (const auto &[step, draw, ms] : steps)
       {
-        act (m, step, draw);
-        run (m, ms / 5 * 5);
+        apply_step (m, step, draw);
+        advance (m, ms / 5 * 5);
       }
     settle (m);
     for (const Job &job : m.jobs)
@@ -436,7 +445,7 @@
                         == MT_JOB_COMPLETED);
   });
 
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
 
 } // namespace
--- a/tests/scheduler/test_admission.c
+++ b/tests/scheduler/test_admission.c
@@ -9,10 +9,10 @@
 static const struct mt_admission_settings settings
     = { .batch_size = 15, .parallel_writes = 2, .max_wait_ms = 1200 };
 
-/* A calm store writes 30 submissions in 10 ms: a surge of thousands waits for less than the
- * patience, and nobody is refused. */
+/* A fast store writes 30 submissions in 10 ms: a surge of thousands waits for less than
+ * max_wait_ms, and no submission is refused. */
 static void
-test_surge_at_a_calm_store_is_admitted (void **state)
+test_surge_at_a_fast_store_is_admitted (void **state)
 {
   struct mt_admission *admission = mt_admission_create (&settings);
 
@@ -24,10 +24,10 @@
   mt_admission_destroy (admission);
 }
 
-/* The store turns slow in a surge. Callers whose turn can't come within their patience are refused
- * as they come, those before them are not; one slow answer alone refuses nobody. */
+/* The store becomes slow in a surge. Submissions that can't be written within max_wait_ms are
+ * refused on arrival, those ahead of them are not; a single slow write causes no refusal. */
 static void
-test_what_a_slow_store_can_not_take_is_refused_at_once (void **state)
+test_submissions_that_a_slow_store_can_not_write_in_time_are_refused (void **state)
 {
   struct mt_admission *admission = mt_admission_create (&settings);
 
@@ -41,10 +41,10 @@
   mt_admission_destroy (admission);
 }
 
-/* A store that turned slow with one waiting at most: somebody must still try, or it would never be
- * noticed that it is fast again. */
+/* The store has become slow and no submission waits: the next one must still be admitted, or it
+ * would never be noticed that the store is fast again. */
 static void
-test_first_one_always_tries (void **state)
+test_submission_is_admitted_if_none_waits (void **state)
 {
   struct mt_admission *admission = mt_admission_create (&settings);
 
@@ -55,9 +55,10 @@
   mt_admission_destroy (admission);
 }
 
-/* Refused callers return when those before them are stored, and not all in one second. */
+/* Refused callers are told to retry when the submissions ahead of them are stored, spread over
+ * several seconds. */
 static void
-test_returns_are_spread (void **state)
+test_retry_times_are_spread (void **state)
 {
   struct mt_admission *admission = mt_admission_create (&settings);
 
@@ -73,10 +74,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_surge_at_a_calm_store_is_admitted),
-    cmocka_unit_test (test_what_a_slow_store_can_not_take_is_refused_at_once),
-    cmocka_unit_test (test_first_one_always_tries),
-    cmocka_unit_test (test_returns_are_spread),
+    cmocka_unit_test (test_surge_at_a_fast_store_is_admitted),
+    cmocka_unit_test (test_submissions_that_a_slow_store_can_not_write_in_time_are_refused),
+    cmocka_unit_test (test_submission_is_admitted_if_none_waits),
+    cmocka_unit_test (test_retry_times_are_spread),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/scheduler/test_crashes.c
+++ b/tests/scheduler/test_crashes.c
@@ -6,19 +6,19 @@
 
 #include <cmocka.h>
 
-#define WORKERS 8
-/* Starts of one task that may take a worker down. */
-#define MOST_CRASHES 3
-#define LONG_MS      60000
+#define N_WORKERS 8
+/* Maximum starts of one crashing task. */
+#define MAX_CRASHES 3
+#define SETTLE_MS   60000
 
-/* Jobs are submitted in front of so many idle workers. */
+/* A pool of N_WORKERS idle workers. */
 static struct world *
-create (bool new_ids)
+create_with_workers (bool new_ids)
 {
   struct world *world = world_create ();
 
-  world->new_ids = new_ids;
-  for (unsigned i = 0; i < WORKERS; i++)
+  world->new_id_after_crash = new_ids;
+  for (unsigned i = 0; i < N_WORKERS; i++)
     world_add_worker (world, "r1");
   world_run (world, 200);
   return world;
@@ -34,52 +34,52 @@
 }
 
 static void
-check_given_up (bool new_ids)
+check_crashing_job_fails (bool new_ids)
 {
-  struct world *world = create (new_ids);
+  struct world *world = create_with_workers (new_ids);
 
   submit_crashing (world, "aa", 6);
-  assert_true (world_until (world, "aa", MT_JOB_FAILED, LONG_MS));
-  assert_in_range (world_crashes_by (world, "aa.0.0.0"), 1, MOST_CRASHES);
-  world_run (world, LONG_MS);
-  assert_in_range (world_crashes_by (world, "aa.0.0.0"), 1, MOST_CRASHES);
-  assert_int_equal (world->twice, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_FAILED, SETTLE_MS));
+  assert_in_range (world_crashing_task_starts (world, "aa.0.0.0"), 1, MAX_CRASHES);
+  world_run (world, SETTLE_MS);
+  assert_in_range (world_crashing_task_starts (world, "aa.0.0.0"), 1, MAX_CRASHES);
+  assert_int_equal (world->duplicate_starts, 0);
   world_destroy (world);
 }
 
-/* Guards against a task that takes down one worker after the other, without end: the worker is back
- * under its own name. */
+/* Guards against a task that crashes one worker after the other without end. Workers restart under
+ * their own id. */
 static void
-test_task_that_crashes_its_workers_is_given_up (void **state)
+test_task_that_crashes_its_workers_fails_its_job (void **state)
 {
-  check_given_up (false);
+  check_crashing_job_fails (false);
 }
 
-/* The same, where the machine is back as another worker. */
+/* Guards against the same failure when crashed machines return as workers with new ids. */
 static void
-test_task_that_crashes_workers_under_new_names_is_given_up (void **state)
+test_task_that_crashes_workers_under_new_ids_fails_its_job (void **state)
 {
-  check_given_up (true);
+  check_crashing_job_fails (true);
 }
 
-/* Guards against a bound on crashes that each takeover begins anew. */
+/* Guards against a crash count that each takeover resets. */
 static void
 test_crashes_are_counted_across_takeovers (void **state)
 {
-  struct world *world = create (false);
+  struct world *world = create_with_workers (false);
 
   submit_crashing (world, "aa", 1);
   for (unsigned i = 0; i < 12 && mt_scheduler_job_state (world->sched, "aa") != MT_JOB_FAILED; i++)
     {
       g_autoptr (GPtrArray) specs = g_ptr_array_new ();
 
-      world_run (world, WORLD_DOWN_MS / 2);
+      world_run (world, WORLD_DOWNTIME_MS / 2);
       g_ptr_array_add (specs, world_job ("aa", 1, 1000, 1000));
       world_take_over (world, specs);
     }
-  world_run (world, LONG_MS);
+  world_run (world, SETTLE_MS);
   assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_FAILED);
-  assert_in_range (world_crashes_by (world, "aa.0.0.0"), 1, MOST_CRASHES);
+  assert_in_range (world_crashing_task_starts (world, "aa.0.0.0"), 1, MAX_CRASHES);
   world_destroy (world);
 }
 
@@ -87,8 +87,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_task_that_crashes_its_workers_is_given_up),
-    cmocka_unit_test (test_task_that_crashes_workers_under_new_names_is_given_up),
+    cmocka_unit_test (test_task_that_crashes_its_workers_fails_its_job),
+    cmocka_unit_test (test_task_that_crashes_workers_under_new_ids_fails_its_job),
     cmocka_unit_test (test_crashes_are_counted_across_takeovers),
   };
 
--- a/tests/scheduler/test_scheduler.c
+++ b/tests/scheduler/test_scheduler.c
@@ -8,22 +8,23 @@
 #include <cmocka.h>
 
 static void
-test_job_runs_to_its_end (void **state)
+test_job_completes (void **state)
 {
   struct world *world = world_create ();
 
   world_add_worker (world, "r1");
   world_submit (world, world_job ("aa", 4, 1000, 1000));
-  assert_true (world_until (world, "aa", MT_JOB_ACTIVE, 200));
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 1500));
-  assert_int_equal (world->started, 4);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_ACTIVE, 200));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 1500));
+  assert_int_equal (world->n_starts, 4);
   world_destroy (world);
 }
 
-/* A start is sent only once the placement is stored: a successor that did not know of it would run
- * the task a second time. While the store is down nothing new starts, and what runs is held. */
+/* A start is sent only after its placement is stored: a successor that does not know of the run
+ * would run the task a second time. While the store is down no task starts, and running tasks
+ * keep their leases. */
 static void
-test_nothing_starts_that_is_not_stored (void **state)
+test_placement_is_stored_before_start (void **state)
 {
   struct world *world = world_create ();
 
@@ -31,17 +32,17 @@
   world_submit (world, world_job ("aa", 1, 1000, 1000));
   world->store_down = true;
   world_run (world, 3000);
-  assert_int_equal (world->started, 0);
+  assert_int_equal (world->n_starts, 0);
   world->store_down = false;
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 1500));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 1500));
   world_destroy (world);
 }
 
-/* The caller cancels a job while its leader is dead. The successor learns of the cancelling from
- * the queue before it has read the job's progress; the tasks that the progress then tells of must
- * be stopped all the same, or they run on for ever. */
+/* The caller cancels a job while its leader is dead. The successor reads the cancellation from
+ * the queue before the job's progress. The runs that the progress lists must be stopped all the
+ * same, or they never end. */
 static void
-test_cancelled_before_its_progress_was_read (void **state)
+test_job_cancelled_before_restore_is_stopped (void **state)
 {
   struct world *world = world_create ();
   struct mt_job_spec *spec = world_job ("aa", 3, 1000, 1000);
@@ -53,7 +54,7 @@
   world_add_worker (world, "r1");
   world_submit (world, spec);
   world_run (world, 500);
-  assert_int_equal (world->started, 3);
+  assert_int_equal (world->n_starts, 3);
   record = g_strdup (g_hash_table_lookup (world->records, "aa"));
   g_hash_table_remove_all (world->records);
   world_take_over (world, none);
@@ -63,17 +64,16 @@
   mt_scheduler_cancel (world->sched, "aa", world->now);
   mt_scheduler_restore (world->sched, "aa", record, 1, world->now);
   world_run (world, 1000);
-  assert_int_equal (world_running (world, "aa.0.0.0"), 0);
+  assert_int_equal (world_count_running (world, "aa.0.0.0"), 0);
   assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_CANCELLED);
   world_destroy (world);
 }
 
-/* The caller cancels a job; its leader stores that the job has ended, and dies before the stops
- * have reached the workers. The successor reads the cancelling in the queue first and the ended
- * record with its placements after it: both tell of an ended job, and what runs must be stopped
- * still. */
+/* The caller cancels a job. Its leader stores the job as ended and dies before the stop orders
+ * reach the workers. The successor reads the cancellation first and then the ended record with
+ * its placements: both say that the job has ended, but its runs must still be stopped. */
 static void
-test_cancelled_job_with_an_ended_record_is_stopped_by_a_successor (void **state)
+test_successor_stops_runs_of_a_job_recorded_as_cancelled (void **state)
 {
   struct world *world = world_create ();
   struct mt_job_spec *spec = world_job ("aa", 3, 1000, 1000);
@@ -85,7 +85,7 @@
   spec->steps[0].long_running = true;
   world_submit (world, spec);
   world_run (world, 500);
-  assert_int_equal (world->started, 3);
+  assert_int_equal (world->n_starts, 3);
   w->silent = true;
   mt_scheduler_cancel (world->sched, "aa", world->now);
   world_run (world, 100);
@@ -104,15 +104,15 @@
     {
       g_autofree char *task = g_strdup_printf ("aa.0.0.%u", i);
 
-      assert_int_equal (world_running (world, task), 0);
+      assert_int_equal (world_count_running (world, task), 0);
     }
   world_destroy (world);
 }
 
-/* A checkpoint holds text of any language. Its successor's start must carry the very text, or the
- * worker can't go on from there and the caller waits for a run from the beginning. */
+/* A checkpoint holds text in any language. The successor's start order must carry it unchanged,
+ * or the worker can't resume from it and the task runs from the beginning. */
 static void
-test_checkpoint_of_any_text_survives_a_takeover (void **state)
+test_checkpoint_text_survives_a_takeover (void **state)
 {
   const char *stored
       = "{\"s\":\"queued\",\"b\":1,\"d\":{},\"t\":[[0,0,0,1,0,\"\",0,\"k\xc3\xa9sz \\\"7\\\"\"]]}";
@@ -126,10 +126,10 @@
   world_destroy (world);
 }
 
-/* The leader dies with tasks at work. Its successor finds them by the stored placements, holds the
- * workers under its own token, and lets them go on: none is started again. */
+/* The leader dies while tasks run. Its successor finds them by the stored placements, holds the
+ * workers under its own token and lets the tasks run on: none is started again. */
 static void
-test_takeover_goes_on_with_what_runs (void **state)
+test_takeover_keeps_running_tasks (void **state)
 {
   struct world *world = world_create ();
   g_autoptr (GPtrArray) specs = g_ptr_array_new ();
@@ -139,99 +139,99 @@
   world->run_ms = 3000;
   world_submit (world, world_job ("aa", 6, 1000, 3000));
   world_run (world, 1000);
-  assert_int_equal (world->started, 6);
+  assert_int_equal (world->n_starts, 6);
   g_ptr_array_add (specs, world_job ("aa", 6, 1000, 3000));
   world_take_over (world, specs);
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 2500));
-  assert_int_equal (world->started, 6);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 2500));
+  assert_int_equal (world->n_starts, 6);
   world_destroy (world);
 }
 
-/* A worker falls silent with tasks on it and runs on. They must not start elsewhere before every
- * lease given to it has run out on the slowest clock: sooner, one task would run twice. */
+/* A worker falls silent and its tasks run on. They must not start elsewhere before every lease
+ * given to the worker has expired by the slowest clock, or a task would run twice. */
 static void
-test_silent_worker_keeps_its_tasks_until_the_lease_is_over (void **state)
+test_silent_worker_keeps_its_tasks_until_its_lease_expires (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *cut = world_add_worker (world, "r1");
+  struct world_worker *silent = world_add_worker (world, "r1");
 
   world->run_ms = 20000;
   world_submit (world, world_job ("aa", 2, 1000, 20000));
   world_run (world, 500);
-  assert_int_equal (cut->starts, 2);
-  cut->silent = true;
+  assert_int_equal (silent->n_starts, 2);
+  silent->silent = true;
   world_add_worker (world, "r1");
   world_run (world, 4000);
-  assert_int_equal (world->started, 2);
+  assert_int_equal (world->n_starts, 2);
   world_run (world, 2000);
-  assert_int_equal (world->started, 4);
-  assert_int_equal (world->twice, 0);
+  assert_int_equal (world->n_starts, 4);
+  assert_int_equal (world->duplicate_starts, 0);
   world_destroy (world);
 }
 
-/* A start gets no answer though it was carried out. The room stays taken, and the next listing
- * shows the run: it goes on, no second one is started. */
+/* A start is executed but gets no answer. Its resources stay allocated and the next hold answer
+ * lists the run: it goes on, and no second run is started. */
 static void
-test_unanswered_start_is_found_by_the_next_hold (void **state)
+test_unanswered_start_is_confirmed_by_the_next_hold (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
 
   world_run (world, 100);
-  w->mute = true;
+  w->drops_all_answers = true;
   world_submit (world, world_job ("aa", 1, 1000, 1000));
   world_run (world, 100);
-  w->mute = false;
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 2000));
-  assert_int_equal (world->started, 1);
+  w->drops_all_answers = false;
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 2000));
+  assert_int_equal (world->n_starts, 1);
   world_destroy (world);
 }
 
-/* The caller waits for a task whose start was lost on the way. A start may be repeated under its
- * run number, so it is sent again to the same worker as soon as a listing lacks it; stopping it
- * first costs three more calls, and ends a run that a late start has begun meanwhile. */
+/* A start is lost on the way. A start may be repeated under its run number, so it is resent to
+ * the same worker as soon as a hold answer lacks the run. Stopping the run first would take
+ * three more calls, and would end a run that a delayed start has begun meanwhile. */
 static void
-test_lost_start_is_sent_again (void **state)
+test_lost_start_is_resent (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
 
   world_run (world, 100);
-  w->drops = 2;
+  w->starts_to_drop = 2;
   world_submit (world, world_job ("aa", 1, 1000, 500));
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 3000));
-  assert_int_equal (w->drops, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 3000));
+  assert_int_equal (w->starts_to_drop, 0);
   assert_int_equal (w->last_run, 1);
   world_destroy (world);
 }
 
-/* A worker answers holds and loses every start. The task is not held to it for ever: after a few
- * it is stopped there and runs elsewhere. */
+/* A worker answers holds and loses every start. The task is not kept there for ever: after a few
+ * starts it is stopped there and runs elsewhere. */
 static void
-test_worker_that_loses_every_start_is_left (void **state)
+test_task_leaves_a_worker_that_loses_every_start (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *loses = world_add_worker (world, "r1");
+  struct world_worker *faulty = world_add_worker (world, "r1");
 
   world_run (world, 100);
-  loses->drops = 1000;
+  faulty->starts_to_drop = 1000;
   world_submit (world, world_job ("aa", 1, 1000, 500));
   world_run (world, 300);
   world_add_worker (world, "r1");
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 6000));
-  assert_int_equal (loses->starts, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 6000));
+  assert_int_equal (faulty->n_starts, 0);
   world_destroy (world);
 }
 
-/* A worker fails all that it starts. The tasks go on elsewhere, one attempt each is spent at most,
- * and the sick worker gets nothing for a while. */
+/* A worker fails every run. The tasks continue elsewhere, each loses one attempt at most, and
+ * the failing worker gets no work for a while. */
 static void
-test_sick_worker_costs_few_attempts (void **state)
+test_worker_that_fails_every_run_costs_few_attempts (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *sick = world_add_worker (world, "r1");
+  struct world_worker *failing = world_add_worker (world, "r1");
 
-  sick->sick = true;
+  failing->fails_runs = true;
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
   for (int i = 0; i < 10; i++)
@@ -247,30 +247,30 @@
 
       assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
-  assert_true (sick->starts < 30);
+  assert_true (failing->n_starts < 30);
   world_destroy (world);
 }
 
-/* All that a worker starts stands still, though it lists the runs and answers. The caller would
+/* Runs on a worker make no progress, though the worker lists them and answers. The caller would
  * wait for ever: the task is stopped and runs elsewhere. */
 static void
-test_task_that_stands_still_runs_elsewhere (void **state)
+test_stalled_task_runs_elsewhere (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *stalls = world_add_worker (world, "r1");
+  struct world_worker *stalling = world_add_worker (world, "r1");
 
-  stalls->stalls = true;
+  stalling->stalls_runs = true;
   world_submit (world, world_job ("aa", 1, 1000, 800));
   world_run (world, 300);
   world_add_worker (world, "r1");
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 5000));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 5000));
   world_destroy (world);
 }
 
-/* A worker's listings are lost for a while; it answers starts all the time. What is known of the
- * progress of its tasks is old then, and says nothing of them standing still: they work on. */
+/* A worker's hold answers are lost for a while; it answers starts all the time. The known
+ * progress of its tasks is outdated then and does not show a stall: the tasks run on. */
 static void
-test_lost_listings_say_nothing_of_progress (void **state)
+test_lost_hold_answers_do_not_count_as_a_stall (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -278,7 +278,7 @@
   world->run_ms = 5000;
   world_submit (world, world_job ("aa", 1, 100, 1000));
   world_run (world, 300);
-  w->unlisted = true;
+  w->drops_hold_answers = true;
   for (int i = 0; i < 30; i++)
     {
       g_autofree char *id = g_strdup_printf ("b%d", i);
@@ -286,37 +286,38 @@
       world_submit (world, world_job (id, 1, 100, 1000));
       world_run (world, 100);
     }
-  assert_true (w->starts > 20);
-  assert_int_equal (world_running (world, "aa.0.0.0"), 1);
+  assert_true (w->n_starts > 20);
+  assert_int_equal (world_count_running (world, "aa.0.0.0"), 1);
   world_destroy (world);
 }
 
-/* Starts wait for their turn as their worker is said to leave. Sent later they would begin on a
- * worker that is being emptied, and be lost with it: they go elsewhere. */
+/* Starts are queued when their worker is marked as leaving. Sent later, the tasks would begin on
+ * a worker that is being drained and be lost with it: they run elsewhere. */
 static void
-test_starts_that_wait_are_not_sent_to_a_leaving_worker (void **state)
+test_queued_starts_are_not_sent_to_a_leaving_worker (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *leaves = world_add_worker (world, "r1");
+  struct world_worker *leaving = world_add_worker (world, "r1");
 
   world_run (world, 100);
-  world->silent_leader = true;
+  world->leader_silent = true;
   world_submit (world, world_job ("aa", 4, 1000, 1000));
   world_run (world, 100);
-  world_leave (world, leaves);
-  world->silent_leader = false;
+  world_mark_leaving (world, leaving);
+  world->leader_silent = false;
   world_add_worker (world, "r1");
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 3000));
-  assert_int_equal (leaves->starts, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 3000));
+  assert_int_equal (leaving->n_starts, 0);
   world_destroy (world);
 }
 
-/* The same while the placing is being written: the worker is said to leave before it is stored. */
+/* A worker is marked as leaving while a placement on it is being written, before it is stored.
+ * The start must not be sent there. */
 static void
-test_placings_on_a_worker_that_leaves_meanwhile_are_not_sent (void **state)
+test_start_is_not_sent_if_its_worker_leaves_during_the_write (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *leaves = world_add_worker (world, "r1");
+  struct world_worker *leaving = world_add_worker (world, "r1");
   GPtrArray *ids;
 
   world_run (world, 100);
@@ -326,28 +327,28 @@
   ids = mt_scheduler_cycle_begin (world->sched, world->now, world->now);
   assert_non_null (ids);
   g_ptr_array_unref (ids);
-  world_leave (world, leaves);
+  world_mark_leaving (world, leaving);
   mt_scheduler_cycle_done (world->sched, world->now);
   world->store_down = false;
   world_add_worker (world, "r1");
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 3000));
-  assert_int_equal (leaves->starts, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 3000));
+  assert_int_equal (leaving->n_starts, 0);
   world_destroy (world);
 }
 
-/* The pool's load has fallen and its machines are wanted elsewhere. Small jobs that come meanwhile
- * go where something runs already: spread over all workers, they would keep each of them from
- * going, and the pool whose callers wait would get no machine. */
+/* The pool's load has fallen and other pools need its machines. Small new jobs are placed on
+ * workers that already run tasks: spread over all workers they would keep every machine in use,
+ * and the pool whose callers wait would get none. */
 static void
-test_small_jobs_leave_workers_empty (void **state)
+test_small_jobs_are_packed_on_few_workers (void **state)
 {
   struct world *world = world_create ();
-  unsigned busy = 0;
+  unsigned n_busy = 0;
 
   for (int i = 0; i < 4; i++)
     world_add_worker (world, "r1");
   world_submit (world, world_job ("proof", 4, 1000, 300));
-  assert_true (world_until (world, "proof", MT_JOB_COMPLETED, 1500));
+  assert_true (world_run_until_state (world, "proof", MT_JOB_COMPLETED, 1500));
   for (int i = 0; i < 4; i++)
     {
       g_autofree char *id = g_strdup_printf ("a%d", i);
@@ -355,17 +356,17 @@
       world_submit (world, world_job (id, 2, 1000, 1000));
       world_run (world, 100);
     }
-  assert_int_equal (world->started, 4 + 8);
+  assert_int_equal (world->n_starts, 4 + 8);
   for (unsigned i = 0; i < world->n_workers; i++)
-    busy += world->workers[i].runs->len > 0;
-  assert_int_equal (busy, 1);
+    n_busy += world->workers[i].runs->len > 0;
+  assert_int_equal (n_busy, 1);
   world_destroy (world);
 }
 
-/* Whatever is in doubt, stopping or at work counts against the worker's room, which does not guard
- * itself. */
+/* Runs that are unconfirmed, stopping or active all count against the worker's resources; the
+ * worker itself does not enforce its limit. */
 static void
-test_room_is_never_overbooked (void **state)
+test_worker_is_never_overcommitted (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -386,9 +387,9 @@
   world_destroy (world);
 }
 
-/* Guards against starts that were decided before a worker shrank and are sent after that. */
+/* Guards against sending a start to a worker that shrank after the task was placed on it. */
 static void
-test_nothing_is_sent_beyond_a_shrunk_room (void **state)
+test_start_is_not_sent_to_a_worker_that_shrank (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -399,32 +400,32 @@
   g_ptr_array_unref (mt_scheduler_cycle_begin (world->sched, world->now, world->now));
   world_resize (world, w, 8000);
   mt_scheduler_cycle_done (world->sched, world->now);
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 5000));
-  assert_int_equal (world->overbooked, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 5000));
+  assert_int_equal (world->overcommitting_starts, 0);
   world_destroy (world);
 }
 
-/* The same of a start that got no answer and is to be sent again. */
+/* Guards against resending an unanswered start to a worker that has shrunk meanwhile. */
 static void
-test_lost_start_is_not_sent_again_to_a_shrunk_worker (void **state)
+test_lost_start_is_not_resent_to_a_worker_that_shrank (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
 
   world->task_cpu = 8000;
   world_run (world, 200);
-  w->drops = 1;
+  w->starts_to_drop = 1;
   world_submit (world, world_job ("aa", 2, 8000, 1000));
   world_run (world, 20);
   world_resize (world, w, 8000);
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 6000));
-  assert_int_equal (world->overbooked, 0);
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 6000));
+  assert_int_equal (world->overcommitting_starts, 0);
   world_destroy (world);
 }
 
-/* Guards against a worker that is left unused once its room has grown again. */
+/* Guards against a worker that stays unused after its resources have grown again. */
 static void
-test_grown_room_is_used (void **state)
+test_worker_that_grew_is_used (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -432,49 +433,49 @@
   world_resize (world, w, 0);
   world_submit (world, world_job ("aa", 4, 4000, 500));
   world_run (world, 1000);
-  assert_int_equal (world->started, 0);
+  assert_int_equal (world->n_starts, 0);
   world_resize (world, w, 16000);
   world_run (world, 50);
-  assert_int_equal (world->started, 4);
+  assert_int_equal (world->n_starts, 4);
   world_destroy (world);
 }
 
-/* A worker is cut off, its lease runs out, its task is started again elsewhere; then it comes back
- * and lists that it had finished in time. The second run takes room until it is stopped: room that
- * was given away at once would overbook its worker. */
+/* A worker is partitioned, its lease expires and its task is started again elsewhere. Then the
+ * worker returns and reports that the task completed in time. The second run uses resources
+ * until it is stopped: reallocating them at once would overcommit its worker. */
 static void
-test_second_run_keeps_its_room_until_it_has_ended (void **state)
+test_superseded_run_keeps_its_resources_until_it_ends (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *cut = world_add_worker (world, "r1");
+  struct world_worker *partitioned = world_add_worker (world, "r1");
   struct world_worker *other;
 
   world_submit (world, world_job ("aa", 1, 16000, 1000));
   world_run (world, 300);
-  cut->silent = true;
+  partitioned->silent = true;
   other = world_add_worker (world, "r1");
   world->run_ms = 20000;
   world_run (world, 5500);
   assert_int_equal (other->runs->len, 1);
   world_submit (world, world_job ("bb", 1, 16000, 1000));
-  cut->gone = true;
-  cut->silent = false;
-  mt_scheduler_cordon (world->sched, cut->id, world->now + 60000, false);
+  partitioned->unregistered = true;
+  partitioned->silent = false;
+  mt_scheduler_cordon (world->sched, partitioned->id, world->now + 60000, false);
   for (int i = 0; i < 200; i++)
     {
       world_run (world, 5);
       assert_true (other->runs->len <= 1);
     }
   assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_COMPLETED);
-  assert_int_equal (world_running (world, "bb.0.0.0"), 1);
+  assert_int_equal (world_count_running (world, "bb.0.0.0"), 1);
   world_destroy (world);
 }
 
-/* A successor meets the cancelling of a job that had begun before it reads the job's progress. The
- * job waits no longer either way; were it taken off the count of waiting jobs twice, callers would
- * be told of too few. */
+/* A successor reads the cancellation of a started job before the job's progress. Either one
+ * takes the job off the count of pending jobs; removing it twice would show callers too low a
+ * count. */
 static void
-test_job_is_taken_off_the_waiting_ones_once (void **state)
+test_cancelled_job_leaves_the_pending_count_once (void **state)
 {
   struct world *world = world_create ();
 
@@ -487,9 +488,9 @@
   world_destroy (world);
 }
 
-/* Three long-running tasks, each on a worker of its own, one of which may be away. */
+/* Three long-running tasks, each on its own worker; at most one may be unavailable. */
 static struct mt_job_spec *
-apart_job (void)
+one_per_worker_job (void)
 {
   struct mt_job_spec *spec = world_job ("aa", 3, 4000, 1000);
 
@@ -499,11 +500,11 @@
   return spec;
 }
 
-/* Two of a step's long-running tasks are on a worker that has fallen silent: they count as away,
- * though no end of them is listed. A third must not be moved off its worker then: its budget is
- * one. */
+/* Long-running tasks on a worker that has fallen silent count as unavailable, though their end
+ * is not reported. No other task of the step may be moved off its worker then: max_unavailable
+ * is one. */
 static void
-test_no_long_running_task_is_moved_while_others_are_away (void **state)
+test_long_running_task_is_not_moved_while_others_are_unavailable (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w[3];
@@ -511,9 +512,9 @@
   world->run_ms = -1;
   for (int i = 0; i < 3; i++)
     w[i] = world_add_worker (world, "r1");
-  world_submit (world, apart_job ());
+  world_submit (world, one_per_worker_job ());
   world_run (world, 500);
-  assert_int_equal (world->started, 3);
+  assert_int_equal (world->n_starts, 3);
   world_add_worker (world, "r1");
   w[0]->silent = true;
   world_run (world, 500);
@@ -526,21 +527,20 @@
   world_destroy (world);
 }
 
-/* Two workers are to be emptied at once, each with one of a step's long-running tasks that has just
- * begun and is not known to be at work. Taking both for away already, the scheduler would stop
- * both; by the time that the orders arrive they are at work, and two are away by its doing where
- * one may be.
- */
+/* Two workers are to be drained at once. Each runs a long-running task of the same step that has
+ * just started and is not yet known to be active. If the scheduler counted both as unavailable
+ * already, it would stop both; by the time the orders arrive both are active, and it would make
+ * two unavailable where one may be. */
 static void
-test_long_running_tasks_are_moved_one_after_the_other (void **state)
+test_long_running_tasks_are_moved_one_at_a_time (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w[3];
 
-  world->run_ms = 60000; /* its progress is read as 0 to 2 percent */
+  world->run_ms = 60000; /* the reported progress is 0 to 2 percent */
   for (int i = 0; i < 3; i++)
     w[i] = world_add_worker (world, "r1");
-  world_submit (world, apart_job ());
+  world_submit (world, one_per_worker_job ());
   world_run (world, 500);
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
@@ -554,22 +554,22 @@
   world_destroy (world);
 }
 
-/* At work, and not told to stop. */
+/* Runs that have not been asked to stop. */
 static unsigned
-at_work (const struct world *world)
+count_active_runs (const struct world *world)
 {
   unsigned n = 0;
 
   for (unsigned i = 0; i < world->n_workers; i++)
     for (guint r = 0; r < world->workers[i].runs->len; r++)
-      n += g_array_index (world->workers[i].runs, struct world_run, r).stops == 0;
+      n += g_array_index (world->workers[i].runs, struct world_run, r).stops_at == 0;
   return n;
 }
 
-/* Guards against a successor that takes a task for at work which its predecessor has told to stop,
- * and moves another beyond the step's budget. */
+/* Guards against a successor that counts a task as active which its predecessor has ordered to
+ * stop, and moves another task beyond max_unavailable. */
 static void
-test_successor_counts_what_its_predecessor_stops_as_away (void **state)
+test_successor_counts_tasks_stopped_by_its_predecessor_as_unavailable (void **state)
 {
   struct world *world = world_create ();
   g_autoptr (GPtrArray) specs = g_ptr_array_new ();
@@ -578,32 +578,32 @@
   world->stop_ms = 900;
   for (int i = 0; i < 3; i++)
     world_add_worker (world, "r1");
-  world_submit (world, apart_job ());
+  world_submit (world, one_per_worker_job ());
   world_run (world, 2500);
-  assert_int_equal (at_work (world), 3);
+  assert_int_equal (count_active_runs (world), 3);
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
   world_run (world, 500);
   mt_scheduler_cordon (world->sched, "i-0", world->now + 60000, true);
   world_run (world, 100);
-  assert_int_equal (at_work (world), 2);
-  g_ptr_array_add (specs, apart_job ());
+  assert_int_equal (count_active_runs (world), 2);
+  g_ptr_array_add (specs, one_per_worker_job ());
   world_take_over (world, specs);
   mt_scheduler_cordon (world->sched, "i-1", world->now + 60000, true);
   for (int i = 0; i < 1000; i++)
     {
       world_run (world, 5);
-      assert_true (at_work (world) >= 2);
+      assert_true (count_active_runs (world) >= 2);
     }
   assert_int_equal (world->workers[1].runs->len, 0);
-  assert_int_equal (at_work (world), 3);
+  assert_int_equal (count_active_runs (world), 3);
   world_destroy (world);
 }
 
-/* What can't be in time any more is run when there is room, and asks for no machines: it would hold
- * those that another pool needs to be in time. */
+/* Tasks that can no longer meet their objective run when resources are free, and request no
+ * machines: they would take those that another pool needs to meet its objectives. */
 static void
-test_late_work_is_not_urgent (void **state)
+test_overdue_work_is_not_urgent (void **state)
 {
   struct world *world = world_create ();
   struct mt_scheduler_load load;
@@ -618,14 +618,14 @@
   assert_int_equal (load.urgent, 0);
   assert_int_equal (load.demand_cpu, 0);
   world_add_worker (world, "r1");
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 2000));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 2000));
   world_destroy (world);
 }
 
-/* A surge shows in the load as soon as its jobs arrive, while there is still room for all of them:
- * machines that are sent for only when something waits come two seconds later. */
+/* A surge shows in the load as soon as its jobs arrive, while resources for all of them are
+ * still free: machines that are requested only once tasks wait arrive two seconds later. */
 static void
-test_surge_shows_before_anything_waits (void **state)
+test_surge_shows_in_the_load_before_tasks_wait (void **state)
 {
   struct world *world = world_create ();
   struct mt_scheduler_load load;
@@ -649,10 +649,10 @@
   world_destroy (world);
 }
 
-/* The store is out for longer than a worker's lease. Nothing may start or stop, but what runs is
- * held: else every task would lapse, and its caller would wait for it to be done again. */
+/* The store is down for longer than a worker's lease. No task may start or stop, but running
+ * tasks keep their leases: otherwise every run would be ended and its work repeated. */
 static void
-test_work_outlives_an_outage_of_the_store (void **state)
+test_runs_survive_a_store_outage (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -664,68 +664,70 @@
   world_submit (world, world_job ("bb", 3, 1000, 1000));
   world_run (world, 8000);
   assert_int_equal (w->runs->len, 3);
-  assert_int_equal (world->started, 3);
+  assert_int_equal (world->n_starts, 3);
   world->store_down = world->holds_only = false;
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 5000));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 5000));
   world_destroy (world);
 }
 
-/* Orders to the only worker get no answer though it carries them out, and it answers holds. It is
- * not silent: the next job must go there at once, not after a silence. */
+/* The only worker executes orders but their answers are lost; it answers holds. It is not
+ * silent: the next job must be placed there at once, not after a silence timeout. */
 static void
-test_lost_order_makes_no_silent_worker (void **state)
+test_worker_with_lost_order_answers_still_gets_work (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
 
   world_run (world, 100);
-  w->loses = true;
+  w->drops_order_answers = true;
   world_submit (world, world_job ("aa", 1, 1000, 1000));
   world_run (world, 30);
-  assert_int_equal (w->starts, 1);
+  assert_int_equal (w->n_starts, 1);
   world_submit (world, world_job ("bb", 1, 1000, 1000));
   world_run (world, 30);
-  assert_int_equal (w->starts, 2);
-  assert_true (world_until (world, "bb", MT_JOB_COMPLETED, 3000));
-  assert_int_equal (world->twice, 0);
+  assert_int_equal (w->n_starts, 2);
+  assert_true (world_run_until_state (world, "bb", MT_JOB_COMPLETED, 3000));
+  assert_int_equal (world->duplicate_starts, 0);
   world_destroy (world);
 }
 
-/* The registry tells of a worker's next life; then an answer arrives that its earlier life had
- * sent. It must not pass for yet another life: the tasks that the new one runs would be started
- * again. */
+/* The registry lists a worker's new incarnation, then an answer arrives that the earlier
+ * incarnation sent. It must not be taken for yet another incarnation, or the tasks of the new
+ * one would be started again. */
 static void
-test_answer_of_an_earlier_life_is_passed_over (void **state)
+test_answer_of_an_earlier_incarnation_is_ignored (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
-  struct mt_worker_entry next = {
-    .id = w->id, .started_at_ms = 8, .address = "127.0.0.1:1", .zone = "z", .resources = w->room
-  };
-  struct mt_hold_report late = { .answer = MT_ANSWER_OK, .clock_ms = 1, .started_at_ms = 7 };
+  struct mt_worker_entry next = { .id = w->id,
+                                  .started_at_ms = 8,
+                                  .address = "127.0.0.1:1",
+                                  .zone = "z",
+                                  .resources = w->resources };
+  struct mt_hold_report earlier = { .answer = MT_ANSWER_OK, .clock_ms = 1, .started_at_ms = 7 };
 
   world->run_ms = 5000;
   world_run (world, 100);
   mt_scheduler_update_worker (world->sched, &next, world->now);
-  w->born = 8;
+  w->started_at_ms = 8;
   world_submit (world, world_job ("aa", 2, 1000, 5000));
   world_run (world, 500);
   assert_int_equal (w->runs->len, 2);
-  mt_scheduler_hold_answered (world->sched, w->id, &late, world->now - 1, world->now);
+  mt_scheduler_hold_answered (world->sched, w->id, &earlier, world->now - 1, world->now);
   world_run (world, 1000);
-  assert_int_equal (world->started, 2);
-  assert_int_equal (world->twice, 0);
+  assert_int_equal (world->n_starts, 2);
+  assert_int_equal (world->duplicate_starts, 0);
   world_destroy (world);
 }
 
-/* A machine is wanted in another pool, and each one here holds a task. Which of them is empty first
- * shows in the progress of its tasks, not in how many they are. */
+/* Another pool needs a machine, and each worker runs tasks. Which worker is empty first depends
+ * on the progress of its tasks, not on their number. */
 static void
-test_view_tells_when_a_worker_will_be_empty (void **state)
+test_worker_view_predicts_when_batch_tasks_end (void **state)
 {
   struct world *world = world_create ();
   struct mt_worker_view views[2];
-  unsigned late;
+  unsigned slower;
 
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
@@ -736,19 +738,19 @@
   world_submit (world, world_job ("bb", 2, 8000, 1000));
   world_run (world, 1500);
   assert_int_equal (mt_scheduler_workers (world->sched, world->now, views, 2), 2);
-  late = views[0].tasks == 1 ? 0 : 1;
-  assert_true (views[1 - late].batch_remaining_ms < 1200);
-  assert_true (views[late].batch_remaining_ms > 3000);
+  slower = views[0].tasks == 1 ? 0 : 1;
+  assert_true (views[1 - slower].batch_remaining_ms < 1200);
+  assert_true (views[slower].batch_remaining_ms > 3000);
   world_destroy (world);
 }
 
-/* A worker is wanted in another pool and has one long task left, which goes on elsewhere from its
- * checkpoint. It must not wait for the task: the other pool's callers would. Where another task
- * that can't go on elsewhere keeps the worker as long, stopping gains nothing. */
+/* Another pool needs a worker whose last task is long and can resume elsewhere from its
+ * checkpoint. Waiting for the task would delay the other pool's callers: it is moved. If another
+ * task that can't be moved keeps the worker busy as long, stopping the first gains nothing. */
 static void
-test_long_task_with_checkpoints_is_moved_off (void **state)
+test_checkpointing_task_is_moved_off_a_cordoned_worker (void **state)
 {
-  for (int with_other = 0; with_other < 2; with_other++)
+  for (int other_task = 0; other_task < 2; other_task++)
     {
       struct world *world = world_create ();
       struct mt_job_spec *spec = world_job ("aa", 1, 9000, 5000);
@@ -757,25 +759,25 @@
       world->run_ms = 5000;
       spec->steps[0].checkpointing = true;
       world_submit (world, spec);
-      if (with_other)
+      if (other_task)
         world_submit (world, world_job ("bb", 1, 1000, 5000));
       world_run (world, 300);
-      assert_int_equal (first->runs->len, 1 + with_other);
+      assert_int_equal (first->runs->len, 1 + other_task);
       world_add_worker (world, "r1");
       world_run (world, 1500);
       mt_scheduler_cordon (world->sched, first->id, world->now + 5000, true);
       world_run (world, 1000);
-      assert_int_equal (first->runs->len, 2 * with_other);
-      assert_int_equal (world_running (world, "aa.0.0.0"), 1);
-      assert_int_equal (world->twice, 0);
+      assert_int_equal (first->runs->len, 2 * other_task);
+      assert_int_equal (world_count_running (world, "aa.0.0.0"), 1);
+      assert_int_equal (world->duplicate_starts, 0);
       world_destroy (world);
     }
 }
 
-/* A worker leaves and comes back as a new life, while all others are full. Its former tasks avoid
- * it at first, since it left; they must not wait beside its room for ever. */
+/* A worker leaves and returns as a new incarnation while all others are full. Its former tasks
+ * avoid it at first because it left; they must not wait for ever while it has free resources. */
 static void
-test_task_returns_to_the_only_worker_with_room (void **state)
+test_task_returns_to_the_only_worker_with_free_resources (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *first = world_add_worker (world, "r1");
@@ -793,16 +795,16 @@
   world_run (world, 300);
   world_reboot (world, first);
   world_run (world, 500);
-  assert_int_equal (world_running (world, "aa.0.0.0"), 0);
+  assert_int_equal (world_count_running (world, "aa.0.0.0"), 0);
   world_run (world, 1500);
-  assert_int_equal (world_running (world, "aa.0.0.0"), 1);
+  assert_int_equal (world_count_running (world, "aa.0.0.0"), 1);
   world_destroy (world);
 }
 
-/* Tasks come one by one and room is plenty. What has not been placed yet, 25 ms at most, is no want
- * of room: counted as such, the pool would keep machines that others lack. */
+/* Tasks arrive one by one and resources are free. Tasks not placed yet, for 25 ms at most, are
+ * no shortage: counted as one, the pool would keep machines that others lack. */
 static void
-test_what_was_not_placed_yet_lacks_no_room (void **state)
+test_new_tasks_do_not_count_as_waiting_before_placement (void **state)
 {
   struct world *world = world_create ();
   struct mt_scheduler_load load;
@@ -820,11 +822,12 @@
   world_destroy (world);
 }
 
-/* The caller guessed 200 ms and the tasks take a second: by the guess the job has no chance from
- * the start of its second step. Its objective goes by what the first step took, so it can still be
- * in time and keeps its place before a job that is really late. */
+/* The caller estimated 200 ms and the tasks take a second: by the estimate the job has missed
+ * its objective when its second step starts. The objective is set from the observed time of the
+ * first step, so the job can still meet it and keeps its place before a job that is really
+ * overdue. */
 static void
-test_objective_goes_by_what_steps_take (void **state)
+test_objective_follows_observed_step_times (void **state)
 {
   struct world *world = world_create ();
   const unsigned counts[] = { 2, 2 };
@@ -832,7 +835,7 @@
 
   world_add_worker (world, "r1");
   world->run_ms = 1000;
-  world_submit (world, world_two_steps ("aa", counts, 8000, 200));
+  world_submit (world, world_two_step_job ("aa", counts, 8000, 200));
   world_run (world, 1300);
   mt_scheduler_load (world->sched, world->now, &load);
   assert_int_equal (load.used_cpu, 16000);
@@ -843,11 +846,12 @@
   world_destroy (world);
 }
 
-/* Two tasks that last may not share a worker, and there are two workers, one of which is to be
- * emptied. Stopped without a place to go to its task would be away until one comes, and the caller
- * counts it: it stays, and the pool is told to lack a worker. With a third one it moves. */
+/* Two long-running tasks may not share a worker. There are two workers, one of which is to be
+ * drained. Stopped with no other worker to run on, its task would be unavailable until one is
+ * added: the task stays, and the load reports it as unplaceable. With a third worker it is
+ * moved. */
 static void
-test_long_running_task_stays_until_it_has_a_place (void **state)
+test_long_running_task_stays_until_another_worker_can_run_it (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *first = world_add_worker (world, "r1");
@@ -875,11 +879,12 @@
   world_destroy (world);
 }
 
-/* A job's first step is nearly done and the next one is twice as wide: a moment from now it needs
- * twice what it uses. Another job's only step is nearly done: it will need nothing. Machines follow
- * that, and neither leave the first job nor stay for the second. */
+/* The first step of a job is nearly done and its next step is twice as wide: shortly the job
+ * needs twice the CPU that it uses. The only step of another job is nearly done: it will need
+ * none. The machines requested follow this prediction, so that none leaves the first job and
+ * none stays for the second. */
 static void
-test_load_tells_what_is_busy_soon (void **state)
+test_load_predicts_upcoming_cpu (void **state)
 {
   struct world *world = world_create ();
   const unsigned counts[] = { 1, 2 };
@@ -887,7 +892,7 @@
 
   world_add_worker (world, "r1");
   world->run_ms = 2000;
-  world_submit (world, world_two_steps ("aa", counts, 3000, 2000));
+  world_submit (world, world_two_step_job ("aa", counts, 3000, 2000));
   world_submit (world, world_job ("bb", 1, 5000, 2000));
   world_run (world, 300);
   mt_scheduler_load (world->sched, world->now, &load);
@@ -899,30 +904,31 @@
   world_destroy (world);
 }
 
-/* A worker's machine was moved, and whoever ordered that died before it told. The cordon runs out;
- * nothing may be placed on what is gone, or the caller's task waits there for a lease to end. */
+/* A worker's machine was moved away, and the controller that ordered the move died before it
+ * reported that. When the cordon expires no task may be placed on the worker that is gone, or it
+ * would wait there until its lease expires. */
 static void
-test_worker_answers_before_it_takes_work_after_a_cordon (void **state)
+test_worker_gets_no_work_after_a_cordon_until_it_answers (void **state)
 {
   struct world *world = world_create ();
-  struct world_worker *gone = world_add_worker (world, "r1");
+  struct world_worker *removed = world_add_worker (world, "r1");
 
   world_run (world, 300);
-  mt_scheduler_cordon (world->sched, gone->id, world->now + 500, true);
-  gone->silent = true;
+  mt_scheduler_cordon (world->sched, removed->id, world->now + 500, true);
+  removed->silent = true;
   world_run (world, 800);
   world_add_worker (world, "r1");
   world_submit (world, world_job ("aa", 2, 1000, 1000));
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 2000));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 2000));
   world_destroy (world);
 }
 
-/* A surge releases 300 starts at once at a leader whose link carries 30 bytes a millisecond:
- * 10 s of it. Sent at once they would push back the renewals of leases, which go out behind them,
- * and long-running tasks would lapse. They wait at the leader instead; each runs once, and as fast
- * as the link carries them. */
+/* A surge releases 300 starts at once on a leader whose link carries 30 bytes per ms: 10 s of
+ * traffic. Sent at once they would delay the lease renewals queued behind them, and the leases
+ * of long-running tasks would expire. The starts wait at the leader instead; each task runs
+ * once, as fast as the link allows. */
 static void
-test_surge_on_a_thin_link_starts_each_task_once (void **state)
+test_surge_on_a_slow_link_starts_each_task_once (void **state)
 {
   struct world *world = world_create ();
   struct mt_job_spec *spec = world_job ("L1", 10, 1000, 1000);
@@ -946,16 +952,17 @@
 
       assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
-  assert_int_equal (world->started, 10 + 300);
-  assert_int_equal (world->twice, 0);
+  assert_int_equal (world->n_starts, 10 + 300);
+  assert_int_equal (world->duplicate_starts, 0);
   world_destroy (world);
 }
 
-/* For 8 s the leader's link is late again and again, and two of its three workers are not heard.
- * They run on, end their tasks, and can't tell; their leases are over then. A task that ran to its
- * end must not run again on the third: where its own link was late the leader asks first. */
+/* For 8 s the leader's link is repeatedly delayed, and the answers of two of its three workers
+ * are lost. Their tasks complete unreported, and their leases expire. A completed task must not
+ * run again on the third worker: after delays of its own link the leader queries the workers
+ * first. */
 static void
-test_silence_behind_a_late_link_frees_no_task (void **state)
+test_silence_during_link_delays_reruns_no_completed_task (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w[2];
@@ -965,8 +972,8 @@
   world_run (world, 500);
   world_submit (world, world_job ("aa", 20, 1000, 1000));
   world_run (world, 300);
-  assert_int_equal (w[0]->starts + w[1]->starts, 20);
-  w[0]->mute = w[1]->mute = true;
+  assert_int_equal (w[0]->n_starts + w[1]->n_starts, 20);
+  w[0]->drops_all_answers = w[1]->drops_all_answers = true;
   world_add_worker (world, "r1");
   for (unsigned i = 0; i < 16; i++)
     {
@@ -974,17 +981,17 @@
       mt_scheduler_set_link_delay (world->sched, 0, world->now);
       world_run (world, 500);
     }
-  w[0]->mute = w[1]->mute = false;
+  w[0]->drops_all_answers = w[1]->drops_all_answers = false;
   world_run (world, 2000);
-  assert_int_equal (world->started, 20);
+  assert_int_equal (world->n_starts, 20);
   assert_int_equal (mt_scheduler_job_state (world->sched, "aa"), MT_JOB_COMPLETED);
   world_destroy (world);
 }
 
-/* Answers take 4.4 s on their way to the leader, so the clock that they show is as old. Leases
- * reckoned from it would end 100 ms after they are given, long before the next renewal. */
+/* Answers take 4.4 s to reach the leader, so the clock that they report is that old. Leases
+ * computed from it would end 100 ms after they are given, long before the next renewal. */
 static void
-test_late_answers_shorten_no_lease (void **state)
+test_delayed_answers_do_not_shorten_leases (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
@@ -996,15 +1003,15 @@
   world_run (world, 2000);
   w->clock_lag_ms = 4400;
   world_run (world, 10000);
-  assert_int_equal (world->started, 1);
-  assert_int_equal (world_running (world, "aa.0.0.0"), 1);
+  assert_int_equal (world->n_starts, 1);
+  assert_int_equal (world_count_running (world, "aa.0.0.0"), 1);
   world_destroy (world);
 }
 
-/* Two of three workers are to be emptied later. A long-running task that comes, or is moved, goes
- * to the third, or it would be moved once more, in the next one's time. */
+/* Two of three workers are announced for a later drain. A long-running task that is new or being
+ * moved goes to the third worker, or it would be moved again when the next worker is drained. */
 static void
-test_long_running_task_avoids_workers_that_are_due (void **state)
+test_long_running_task_avoids_workers_with_an_announced_drain (void **state)
 {
   struct world *world = world_create ();
   struct mt_job_spec *spec = world_job ("L1", 6, 1000, 1000);
@@ -1017,29 +1024,28 @@
   spec->steps[0].long_running = true;
   world_submit (world, spec);
   world_run (world, 500);
-  assert_int_equal (world->workers[2].starts, 6);
+  assert_int_equal (world->workers[2].n_starts, 6);
   world_destroy (world);
 }
 
-/* A pool of two workers has work for a minute. A caller whose job would be done long after its
- * answer is of use is told so, and when to come back; a job that goes in before what is late
- * anyway, a pool that will have forty machines shortly, and one of which nothing is known yet,
- * refuse nobody. */
+/* A pool of two workers has a minute of work. A caller whose job would end long after its result
+ * is useful is refused and told when to retry. No job is refused if it runs before the overdue
+ * ones, if the pool is about to have forty machines, or if nothing is known of the pool yet. */
 static void
-test_outlook_refuses_what_is_hopeless (void **state)
+test_wait_estimate_refuses_jobs_that_would_end_too_late (void **state)
 {
   struct world *world = world_create ();
-  struct mt_wait_estimate outlook;
+  struct mt_wait_estimate estimate;
 
-  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.retry_after_ms, 0);
+  estimate = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (estimate.retry_after_ms, 0);
   world_add_worker (world, "r1");
   world_add_worker (world, "r1");
   world_run (world, 200);
   world_submit (world, world_job ("aa", 8, 4000, 1000));
   world_run (world, 100);
-  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.retry_after_ms, 0);
+  estimate = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (estimate.retry_after_ms, 0);
   for (unsigned i = 0; i < 10; i++)
     {
       g_autofree char *id = g_strdup_printf ("b%u", i);
@@ -1047,28 +1053,28 @@
       world_submit (world, world_job (id, 40, 4000, 1000));
     }
   world_run (world, 100);
-  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
-  assert_in_range (outlook.retry_after_ms, 15000, 30000);
+  estimate = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_in_range (estimate.retry_after_ms, 15000, 30000);
   mt_scheduler_expect_capacity (world->sched, 40 * 16000, world->now + 1000);
   world_run (world, 100);
-  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.retry_after_ms, 0);
+  estimate = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (estimate.retry_after_ms, 0);
   world_run (world, 4000);
-  outlook = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
-  assert_int_equal (outlook.retry_after_ms, 0);
+  estimate = mt_scheduler_estimate_wait (world->sched, "route", 1000, world->now);
+  assert_int_equal (estimate.retry_after_ms, 0);
   world_destroy (world);
 }
 
-/* A surge of 600 tasks meets 40 idle workers and a link that carries 30 starts in a second. Were
- * all placed at once their workers would be full of tasks that are not there, and other pools lack
- * the machines: no more are placed than the link starts shortly, and the pool asks for no more room
- * than it keeps at work. */
+/* A surge of 600 tasks meets 40 idle workers and a link that carries 30 starts per second.
+ * Placed at once, the tasks would occupy workers long before they start, and other pools would
+ * lack the machines. No more tasks are placed than the link can start shortly, and the pool
+ * requests no more resources than it keeps busy. */
 static void
-test_leader_with_a_full_link_takes_no_more_room_than_it_uses (void **state)
+test_placement_is_limited_by_the_link_capacity (void **state)
 {
   struct world *world = world_create ();
   struct mt_scheduler_load load;
-  int64_t used = 0;
+  int64_t used_cpu = 0;
 
   world->link_bytes_per_ms = 30;
   for (unsigned i = 0; i < 40; i++)
@@ -1082,19 +1088,19 @@
     }
   world_run (world, 2000);
   mt_scheduler_load (world->sched, world->now, &load);
-  used = load.used_cpu;
-  assert_in_range (used, 10000, 200000);
-  assert_in_range (load.demand_cpu + load.overdue_cpu, 1000, 2 * used);
+  used_cpu = load.used_cpu;
+  assert_in_range (used_cpu, 10000, 200000);
+  assert_in_range (load.demand_cpu + load.overdue_cpu, 1000, 2 * used_cpu);
   assert_int_equal (load.urgent, 0);
   world_run (world, 30000);
-  assert_int_equal (world->started, 600);
+  assert_int_equal (world->n_starts, 600);
   world_destroy (world);
 }
 
 /* ---- quotas ---- */
 
 static void
-submit_of (struct world *world, const char *workspace, const char *id, unsigned count)
+submit_for_workspace (struct world *world, const char *workspace, const char *id, unsigned count)
 {
   struct mt_job_spec *spec = world_job (id, count, 2000, 500);
 
@@ -1102,25 +1108,25 @@
   world_submit (world, spec);
 }
 
-/* Guards against a workspace that crowds out the others by sending far more than is its due. */
+/* Guards against a workspace that crowds out the others by submitting jobs far beyond its rate. */
 static void
-test_jobs_beyond_a_rate_go_behind_the_rest (void **state)
+test_jobs_beyond_the_workspace_rate_are_run_last (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_limits terms = { .rate = 4, .pools = 1 };
+  struct mt_workspace_limits limits = { .rate = 4, .pools = 1 };
 
   world_add_worker (world, "r1");
   world->run_ms = 400;
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   for (unsigned i = 0; i < 40; i++)
     {
       g_autofree char *id = g_strdup_printf ("y%02u", i);
 
-      submit_of (world, "yard", id, 8);
+      submit_for_workspace (world, "yard", id, 8);
     }
   world_run (world, 100);
-  submit_of (world, "press", "bb", 8);
-  assert_true (world_until (world, "bb", MT_JOB_COMPLETED, 3000));
+  submit_for_workspace (world, "press", "bb", 8);
+  assert_true (world_run_until_state (world, "bb", MT_JOB_COMPLETED, 3000));
   for (unsigned i = 0; i < 4; i++)
     {
       g_autofree char *id = g_strdup_printf ("y%02u", i);
@@ -1128,7 +1134,7 @@
       assert_int_equal (mt_scheduler_job_state (world->sched, id), MT_JOB_COMPLETED);
     }
   assert_int_equal (mt_scheduler_job_state (world->sched, "y20"), MT_JOB_QUEUED);
-  assert_true (world_until (world, "y39", MT_JOB_COMPLETED, 60000));
+  assert_true (world_run_until_state (world, "y39", MT_JOB_COMPLETED, 60000));
   world_destroy (world);
 }
 
@@ -1141,101 +1147,105 @@
   return view.granted.cpu;
 }
 
-/* Guards against a larger grant of before that comes late and counts beside what was taken back. */
+/* Guards against an older, larger grant that arrives late and is used in addition to resources
+ * that were already revoked. */
 static void
-test_older_message_on_quotas_is_not_taken (void **state)
+test_older_grant_message_is_rejected (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_limits terms = { .quota = { .cpu = 8000 }, .pools = 2 };
+  struct mt_workspace_limits limits = { .quota = { .cpu = 8000 }, .pools = 2 };
   struct mt_grant less = { "yard", { .cpu = 1000 } };
   struct mt_grant more = { "yard", { .cpu = 8000 } };
   struct mt_grant_message newer = { .token = 3, .sequence = 5, .all = true, .grants = &less, 1 };
   struct mt_grant_message older = { .token = 3, .sequence = 4, .all = true, .grants = &more, 1 };
-  struct mt_grant_message other = { .token = 2, .sequence = 9, .all = true, .grants = &more, 1 };
+  struct mt_grant_message lower_token
+      = { .token = 2, .sequence = 9, .all = true, .grants = &more, 1 };
 
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   assert_true (mt_scheduler_apply_grants (world->sched, &newer, world->now));
   assert_false (mt_scheduler_apply_grants (world->sched, &older, world->now));
-  assert_false (mt_scheduler_apply_grants (world->sched, &other, world->now));
+  assert_false (mt_scheduler_apply_grants (world->sched, &lower_token, world->now));
   assert_int_equal (granted_cpu (world), 1000);
   world_destroy (world);
 }
 
-/* Guards against pools that keep shares of a quota that was lowered while nobody reached them. */
+/* Guards against pools that keep their grants of a quota that was lowered while they were
+ * unreachable. */
 static void
-test_share_shrinks_with_its_quota (void **state)
+test_grant_shrinks_with_its_quota (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_limits terms = { .quota = { .cpu = 8000 }, .pools = 2 };
+  struct mt_workspace_limits limits = { .quota = { .cpu = 8000 }, .pools = 2 };
   struct mt_grant grant = { "yard", { .cpu = 6000 } };
   struct mt_grant_message message = { .token = 1, .sequence = 1, .all = true, .grants = &grant, 1 };
 
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   assert_true (mt_scheduler_apply_grants (world->sched, &message, world->now));
-  terms.quota.cpu = 4000;
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  limits.quota.cpu = 4000;
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   assert_int_equal (granted_cpu (world), 3000);
-  terms.quota.cpu = 40000;
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  limits.quota.cpu = 40000;
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   assert_int_equal (granted_cpu (world), 3000);
   world_destroy (world);
 }
 
-/* Guards against a workspace that takes machines from others which its quota lets it not use. */
+/* Guards against a workspace that claims machines from others although its quota doesn't allow
+ * it to use them. */
 static void
-test_quota_bounds_a_workspace_and_nobody_else (void **state)
+test_quota_limits_only_its_own_workspace (void **state)
 {
   struct world *world = world_create ();
-  struct mt_workspace_limits terms = { .quota = { .cpu = 4000 }, .pools = 1 };
+  struct mt_workspace_limits limits = { .quota = { .cpu = 4000 }, .pools = 1 };
   struct mt_grant grant = { "yard", { .cpu = 4000 } };
   struct mt_grant_message message = { .token = 1, .sequence = 1, .grants = &grant, .n_grants = 1 };
   struct mt_scheduler_load load;
 
   world_add_worker (world, "r1");
   world->run_ms = 500;
-  mt_scheduler_set_workspace (world->sched, "yard", &terms);
+  mt_scheduler_set_workspace (world->sched, "yard", &limits);
   assert_true (mt_scheduler_apply_grants (world->sched, &message, world->now));
-  submit_of (world, "yard", "aa", 10);
+  submit_for_workspace (world, "yard", "aa", 10);
   world_run (world, 200);
   assert_int_equal (world->workers[0].runs->len, 2);
   mt_scheduler_load (world->sched, world->now, &load);
   assert_int_equal (load.urgent, 0);
   assert_int_equal (load.waiting, 0);
-  submit_of (world, "press", "bb", 6);
+  submit_for_workspace (world, "press", "bb", 6);
   world_run (world, 200);
   assert_int_equal (world->workers[0].runs->len, 8);
-  assert_true (world_until (world, "aa", MT_JOB_COMPLETED, 10000));
+  assert_true (world_run_until_state (world, "aa", MT_JOB_COMPLETED, 10000));
   world_destroy (world);
 }
 
 static void
-keep_last_loss (void *ctx, const char *name, const char *detail)
+record_last_task_lost (void *ctx, const char *name, const char *detail)
 {
   if (strcmp (name, "TASK_LOST") == 0)
     g_strlcpy (ctx, detail, 200);
 }
 
-/* Guards against a log that can't tell a task that takes its worker down from one that was there.
- */
+/* Guards against a log that does not distinguish a task that crashes its worker from one that
+ * was merely running there. */
 static void
-test_lost_task_tells_how_long_it_was_seen (void **state)
+test_task_lost_event_gives_the_observed_time (void **state)
 {
   struct world *world = world_create ();
   struct world_worker *w = world_add_worker (world, "r1");
   char detail[200] = "";
 
   world->run_ms = 2000;
-  mt_scheduler_set_event_callback (world->sched, keep_last_loss, detail);
+  mt_scheduler_set_event_callback (world->sched, record_last_task_lost, detail);
   world_submit (world, world_job ("aa", 1, 1000, 2000));
   world_run (world, 1500);
   world_crash (world, w);
-  world_run (world, WORLD_DOWN_MS + 500);
+  world_run (world, WORLD_DOWNTIME_MS + 500);
   assert_non_null (strstr (detail, "state=running"));
   assert_non_null (strstr (detail, "losses=1"));
   assert_null (strstr (detail, "seen_ms=0 "));
   world_add_crashing (world, "bb.0.0.0");
   world_submit (world, world_job ("bb", 1, 1000, 2000));
-  world_run (world, WORLD_DOWN_MS + 500);
+  world_run (world, WORLD_DOWNTIME_MS + 500);
   assert_non_null (strstr (detail, "id=bb"));
   assert_non_null (strstr (detail, "seen_ms=0 "));
   world_destroy (world);
@@ -1245,55 +1255,55 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_quota_bounds_a_workspace_and_nobody_else),
-    cmocka_unit_test (test_older_message_on_quotas_is_not_taken),
-    cmocka_unit_test (test_jobs_beyond_a_rate_go_behind_the_rest),
-    cmocka_unit_test (test_share_shrinks_with_its_quota),
-    cmocka_unit_test (test_lost_task_tells_how_long_it_was_seen),
-    cmocka_unit_test (test_job_runs_to_its_end),
-    cmocka_unit_test (test_nothing_starts_that_is_not_stored),
-    cmocka_unit_test (test_cancelled_before_its_progress_was_read),
-    cmocka_unit_test (test_cancelled_job_with_an_ended_record_is_stopped_by_a_successor),
-    cmocka_unit_test (test_checkpoint_of_any_text_survives_a_takeover),
-    cmocka_unit_test (test_takeover_goes_on_with_what_runs),
-    cmocka_unit_test (test_silent_worker_keeps_its_tasks_until_the_lease_is_over),
-    cmocka_unit_test (test_unanswered_start_is_found_by_the_next_hold),
-    cmocka_unit_test (test_surge_on_a_thin_link_starts_each_task_once),
-    cmocka_unit_test (test_silence_behind_a_late_link_frees_no_task),
-    cmocka_unit_test (test_late_answers_shorten_no_lease),
-    cmocka_unit_test (test_long_running_task_avoids_workers_that_are_due),
-    cmocka_unit_test (test_outlook_refuses_what_is_hopeless),
-    cmocka_unit_test (test_leader_with_a_full_link_takes_no_more_room_than_it_uses),
-    cmocka_unit_test (test_lost_start_is_sent_again),
-    cmocka_unit_test (test_worker_that_loses_every_start_is_left),
-    cmocka_unit_test (test_sick_worker_costs_few_attempts),
-    cmocka_unit_test (test_task_that_stands_still_runs_elsewhere),
-    cmocka_unit_test (test_lost_listings_say_nothing_of_progress),
-    cmocka_unit_test (test_starts_that_wait_are_not_sent_to_a_leaving_worker),
-    cmocka_unit_test (test_placings_on_a_worker_that_leaves_meanwhile_are_not_sent),
-    cmocka_unit_test (test_small_jobs_leave_workers_empty),
-    cmocka_unit_test (test_room_is_never_overbooked),
-    cmocka_unit_test (test_nothing_is_sent_beyond_a_shrunk_room),
-    cmocka_unit_test (test_lost_start_is_not_sent_again_to_a_shrunk_worker),
-    cmocka_unit_test (test_grown_room_is_used),
-    cmocka_unit_test (test_answer_of_an_earlier_life_is_passed_over),
-    cmocka_unit_test (test_view_tells_when_a_worker_will_be_empty),
-    cmocka_unit_test (test_long_task_with_checkpoints_is_moved_off),
-    cmocka_unit_test (test_lost_order_makes_no_silent_worker),
-    cmocka_unit_test (test_work_outlives_an_outage_of_the_store),
-    cmocka_unit_test (test_surge_shows_before_anything_waits),
-    cmocka_unit_test (test_successor_counts_what_its_predecessor_stops_as_away),
-    cmocka_unit_test (test_late_work_is_not_urgent),
-    cmocka_unit_test (test_long_running_tasks_are_moved_one_after_the_other),
-    cmocka_unit_test (test_no_long_running_task_is_moved_while_others_are_away),
-    cmocka_unit_test (test_job_is_taken_off_the_waiting_ones_once),
-    cmocka_unit_test (test_second_run_keeps_its_room_until_it_has_ended),
-    cmocka_unit_test (test_task_returns_to_the_only_worker_with_room),
-    cmocka_unit_test (test_what_was_not_placed_yet_lacks_no_room),
-    cmocka_unit_test (test_objective_goes_by_what_steps_take),
-    cmocka_unit_test (test_long_running_task_stays_until_it_has_a_place),
-    cmocka_unit_test (test_load_tells_what_is_busy_soon),
-    cmocka_unit_test (test_worker_answers_before_it_takes_work_after_a_cordon),
+    cmocka_unit_test (test_quota_limits_only_its_own_workspace),
+    cmocka_unit_test (test_older_grant_message_is_rejected),
+    cmocka_unit_test (test_jobs_beyond_the_workspace_rate_are_run_last),
+    cmocka_unit_test (test_grant_shrinks_with_its_quota),
+    cmocka_unit_test (test_task_lost_event_gives_the_observed_time),
+    cmocka_unit_test (test_job_completes),
+    cmocka_unit_test (test_placement_is_stored_before_start),
+    cmocka_unit_test (test_job_cancelled_before_restore_is_stopped),
+    cmocka_unit_test (test_successor_stops_runs_of_a_job_recorded_as_cancelled),
+    cmocka_unit_test (test_checkpoint_text_survives_a_takeover),
+    cmocka_unit_test (test_takeover_keeps_running_tasks),
+    cmocka_unit_test (test_silent_worker_keeps_its_tasks_until_its_lease_expires),
+    cmocka_unit_test (test_unanswered_start_is_confirmed_by_the_next_hold),
+    cmocka_unit_test (test_surge_on_a_slow_link_starts_each_task_once),
+    cmocka_unit_test (test_silence_during_link_delays_reruns_no_completed_task),
+    cmocka_unit_test (test_delayed_answers_do_not_shorten_leases),
+    cmocka_unit_test (test_long_running_task_avoids_workers_with_an_announced_drain),
+    cmocka_unit_test (test_wait_estimate_refuses_jobs_that_would_end_too_late),
+    cmocka_unit_test (test_placement_is_limited_by_the_link_capacity),
+    cmocka_unit_test (test_lost_start_is_resent),
+    cmocka_unit_test (test_task_leaves_a_worker_that_loses_every_start),
+    cmocka_unit_test (test_worker_that_fails_every_run_costs_few_attempts),
+    cmocka_unit_test (test_stalled_task_runs_elsewhere),
+    cmocka_unit_test (test_lost_hold_answers_do_not_count_as_a_stall),
+    cmocka_unit_test (test_queued_starts_are_not_sent_to_a_leaving_worker),
+    cmocka_unit_test (test_start_is_not_sent_if_its_worker_leaves_during_the_write),
+    cmocka_unit_test (test_small_jobs_are_packed_on_few_workers),
+    cmocka_unit_test (test_worker_is_never_overcommitted),
+    cmocka_unit_test (test_start_is_not_sent_to_a_worker_that_shrank),
+    cmocka_unit_test (test_lost_start_is_not_resent_to_a_worker_that_shrank),
+    cmocka_unit_test (test_worker_that_grew_is_used),
+    cmocka_unit_test (test_answer_of_an_earlier_incarnation_is_ignored),
+    cmocka_unit_test (test_worker_view_predicts_when_batch_tasks_end),
+    cmocka_unit_test (test_checkpointing_task_is_moved_off_a_cordoned_worker),
+    cmocka_unit_test (test_worker_with_lost_order_answers_still_gets_work),
+    cmocka_unit_test (test_runs_survive_a_store_outage),
+    cmocka_unit_test (test_surge_shows_in_the_load_before_tasks_wait),
+    cmocka_unit_test (test_successor_counts_tasks_stopped_by_its_predecessor_as_unavailable),
+    cmocka_unit_test (test_overdue_work_is_not_urgent),
+    cmocka_unit_test (test_long_running_tasks_are_moved_one_at_a_time),
+    cmocka_unit_test (test_long_running_task_is_not_moved_while_others_are_unavailable),
+    cmocka_unit_test (test_cancelled_job_leaves_the_pending_count_once),
+    cmocka_unit_test (test_superseded_run_keeps_its_resources_until_it_ends),
+    cmocka_unit_test (test_task_returns_to_the_only_worker_with_free_resources),
+    cmocka_unit_test (test_new_tasks_do_not_count_as_waiting_before_placement),
+    cmocka_unit_test (test_objective_follows_observed_step_times),
+    cmocka_unit_test (test_long_running_task_stays_until_another_worker_can_run_it),
+    cmocka_unit_test (test_load_predicts_upcoming_cpu),
+    cmocka_unit_test (test_worker_gets_no_work_after_a_cordon_until_it_answers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/scheduler/world.c
+++ b/tests/scheduler/world.c
@@ -3,15 +3,15 @@
 #include <stdio.h>
 #include <string.h>
 
-#define STEP_MS  5
-#define STOP_MS  60
-#define CRASH_MS 10
-#define LOST_MS  400
-/* So long the answer to an order is waited for from when it should have left. */
-#define ORDER_MS 350
-/* On the wire, headers included; a start carries what its caller sent. */
-#define START_BYTES 1000
-#define ORDER_BYTES 215
+#define STEP_MS                5
+#define DEFAULT_STOP_MS        60
+#define DEFAULT_CRASH_DELAY_MS 10
+#define HOLD_TIMEOUT_MARGIN_MS 400
+/* Time that the leader waits for an answer after the order's expected departure from its link. */
+#define ORDER_TIMEOUT_MS 350
+/* Sizes on the wire, headers included; a start also carries the job's payload. */
+#define START_ORDER_BYTES 1000
+#define OTHER_ORDER_BYTES 215
 
 static const struct mt_scheduler_settings settings = {
   .name = "pool",
@@ -21,7 +21,7 @@
   .retention_ms = 120000,
   .stop_grace_ms = 900,
 };
-static const struct mt_route_policy terms
+static const struct mt_route_policy route_policy
     = { .priority = 0, .max_attempts = 3, .stretch = 1.6, .objective_ms = 600 };
 
 struct world *
@@ -31,21 +31,21 @@
 
   world->now = 100000;
   world->run_ms = 1000;
-  world->stop_ms = STOP_MS;
+  world->stop_ms = DEFAULT_STOP_MS;
   world->token = 1;
-  world->late = g_array_new (FALSE, TRUE, sizeof (struct world_late));
-  world->sent = g_array_new (FALSE, TRUE, sizeof (struct world_sent));
+  world->delayed_orders = g_array_new (FALSE, TRUE, sizeof (struct world_delayed_order));
+  world->sent_orders = g_array_new (FALSE, TRUE, sizeof (struct world_sent_order));
   world->sched = mt_scheduler_create (&settings);
-  mt_scheduler_set_route (world->sched, "route", &terms);
+  mt_scheduler_set_route (world->sched, "route", &route_policy);
   world->records = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  world->crashing = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world->crashes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  world->crash_ms = CRASH_MS;
+  world->crashing_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  world->crashes_by_task = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  world->crash_delay_ms = DEFAULT_CRASH_DELAY_MS;
   return world;
 }
 
 static void
-free_sent (struct world_sent *sent)
+clear_sent_order (struct world_sent_order *sent)
 {
   g_free ((char *) sent->order.worker);
 }
@@ -57,46 +57,46 @@
     {
       g_array_unref (world->workers[i].runs);
       g_array_unref (world->workers[i].ends);
-      g_hash_table_unref (world->workers[i].past);
+      g_hash_table_unref (world->workers[i].highest_ended_runs);
     }
-  for (guint i = 0; i < world->sent->len; i++)
-    free_sent (&g_array_index (world->sent, struct world_sent, i));
-  g_array_unref (world->sent);
-  g_array_unref (world->late);
+  for (guint i = 0; i < world->sent_orders->len; i++)
+    clear_sent_order (&g_array_index (world->sent_orders, struct world_sent_order, i));
+  g_array_unref (world->sent_orders);
+  g_array_unref (world->delayed_orders);
   mt_scheduler_destroy (world->sched);
   g_hash_table_unref (world->records);
-  g_hash_table_unref (world->crashing);
-  g_hash_table_unref (world->crashes);
+  g_hash_table_unref (world->crashing_tasks);
+  g_hash_table_unref (world->crashes_by_task);
   g_free (world);
 }
 
 static void
-show (struct world *world, struct world_worker *w)
+update_registry_entry (struct world *world, struct world_worker *w)
 {
   const char *labels[] = { "a", "r1", NULL };
   struct mt_worker_entry entry = { .id = w->id,
-                                   .started_at_ms = w->born,
+                                   .started_at_ms = w->started_at_ms,
                                    .address = "127.0.0.1:1",
                                    .zone = "z",
                                    .labels = labels,
-                                   .resources = w->room,
+                                   .resources = w->resources,
                                    .leaving = w->leaving };
 
   mt_scheduler_update_worker (world->sched, &entry, world->now);
 }
 
 void
-world_leave (struct world *world, struct world_worker *w)
+world_mark_leaving (struct world *world, struct world_worker *w)
 {
   w->leaving = true;
-  show (world, w);
+  update_registry_entry (world, w);
 }
 
 void
 world_resize (struct world *world, struct world_worker *w, int64_t cpu)
 {
-  w->room.cpu = cpu;
-  show (world, w);
+  w->resources.cpu = cpu;
+  update_registry_entry (world, w);
 }
 
 struct world_worker *
@@ -105,13 +105,13 @@
   struct world_worker *w = &world->workers[world->n_workers];
 
   snprintf (w->id, sizeof w->id, "i-%u", world->n_workers++);
-  w->room = (struct mt_resources){ .cpu = 16000, .mem = 32768 };
-  w->slow = 1;
-  w->born = 7;
+  w->resources = (struct mt_resources){ .cpu = 16000, .mem = 32768 };
+  w->run_time_factor = 1;
+  w->started_at_ms = 7;
   w->runs = g_array_new (FALSE, TRUE, sizeof (struct world_run));
   w->ends = g_array_new (FALSE, TRUE, sizeof (struct world_end));
-  w->past = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  show (world, w);
+  w->highest_ended_runs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  update_registry_entry (world, w);
   return w;
 }
 
@@ -134,7 +134,7 @@
 }
 
 struct mt_job_spec *
-world_two_steps (const char *id, const unsigned counts[2], int64_t cpu, int64_t ms)
+world_two_step_job (const char *id, const unsigned counts[2], int64_t cpu, int64_t ms)
 {
   struct mt_job_spec *spec = mt_job_spec_create (id, "route", 2);
 
@@ -156,13 +156,13 @@
 /* ---- workers ---- */
 
 static bool
-is_silent (const struct world_worker *w)
+is_unreachable (const struct world_worker *w)
 {
-  return w->silent || w->back_at != 0;
+  return w->silent || w->recovers_at != 0;
 }
 
 static struct world_worker *
-find (struct world *world, const char *id)
+find_worker (struct world *world, const char *id)
 {
   for (unsigned i = 0; i < world->n_workers; i++)
     if (strcmp (world->workers[i].id, id) == 0)
@@ -171,13 +171,13 @@
 }
 
 static struct world_run *
-find_run (struct world_worker *w, const char *task, unsigned run, guint *at)
+find_run (struct world_worker *w, const char *task, unsigned run, guint *index)
 {
   for (guint i = 0; i < w->runs->len; i++)
     {
       struct world_run *r = &g_array_index (w->runs, struct world_run, i);
 
-      *at = i;
+      *index = i;
       if (strcmp (r->task, task) == 0 && (run == 0 || r->run == run))
         return r;
     }
@@ -185,130 +185,131 @@
 }
 
 unsigned
-world_running (const struct world *world, const char *task)
+world_count_running (const struct world *world, const char *task)
 {
   unsigned n = 0;
-  guint at;
+  guint index;
 
   for (unsigned i = 0; i < world->n_workers; i++)
-    n += find_run ((struct world_worker *) &world->workers[i], task, 0, &at) != NULL;
+    n += find_run ((struct world_worker *) &world->workers[i], task, 0, &index) != NULL;
   return n;
 }
 
 static void
-note_past (struct world_worker *w, const char *task, unsigned run)
+record_ended_run (struct world_worker *w, const char *task, unsigned run)
 {
-  unsigned before = GPOINTER_TO_UINT (g_hash_table_lookup (w->past, task));
+  unsigned highest = GPOINTER_TO_UINT (g_hash_table_lookup (w->highest_ended_runs, task));
 
-  g_hash_table_insert (w->past, g_strdup (task), GUINT_TO_POINTER (MAX (before, run)));
+  g_hash_table_insert (w->highest_ended_runs, g_strdup (task),
+                       GUINT_TO_POINTER (MAX (highest, run)));
 }
 
 static void
-end_run (struct world_worker *w, guint at, enum mt_end_kind how)
+end_run (struct world_worker *w, guint index, enum mt_end_kind kind)
 {
-  struct world_run *r = &g_array_index (w->runs, struct world_run, at);
-  struct world_end end = { .number = ++w->last_end, .run = r->run, .how = how };
+  struct world_run *r = &g_array_index (w->runs, struct world_run, index);
+  struct world_end end = { .sequence = ++w->last_end_sequence, .run = r->run, .kind = kind };
 
   memcpy (end.task, r->task, sizeof end.task);
-  note_past (w, r->task, r->run);
+  record_ended_run (w, r->task, r->run);
   g_array_append_val (w->ends, end);
-  g_array_remove_index (w->runs, at);
+  g_array_remove_index (w->runs, index);
 }
 
 static void
-lose_hold (struct world *world, struct world_worker *w)
+fail_hold (struct world *world, struct world_worker *w)
 {
-  struct mt_hold_report none = { .answer = MT_ANSWER_NONE, .clock_ms = -1 };
+  struct mt_hold_report report = { .answer = MT_ANSWER_NONE, .clock_ms = -1 };
 
-  w->holding = false;
-  mt_scheduler_hold_answered (world->sched, w->id, &none, w->hold_sent, world->now);
+  w->hold_pending = false;
+  mt_scheduler_hold_answered (world->sched, w->id, &report, w->hold_sent_at, world->now);
 }
 
 void
 world_add_crashing (struct world *world, const char *task)
 {
-  g_hash_table_insert (world->crashing, g_strdup (task), GUINT_TO_POINTER (0));
+  g_hash_table_insert (world->crashing_tasks, g_strdup (task), GUINT_TO_POINTER (0));
 }
 
 unsigned
-world_crashes_by (const struct world *world, const char *task)
+world_crashing_task_starts (const struct world *world, const char *task)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (world->crashing, task));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (world->crashing_tasks, task));
 }
 
 unsigned
-world_crashes_under (const struct world *world, const char *task)
+world_count_crashes_during (const struct world *world, const char *task)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (world->crashes, task));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (world->crashes_by_task, task));
 }
 
 static void
-note_crash_under (struct world *world, const char *task)
+count_crash_during (struct world *world, const char *task)
 {
-  g_hash_table_insert (world->crashes, g_strdup (task),
-                       GUINT_TO_POINTER (world_crashes_under (world, task) + 1));
+  g_hash_table_insert (world->crashes_by_task, g_strdup (task),
+                       GUINT_TO_POINTER (world_count_crashes_during (world, task) + 1));
 }
 
-/* All that runs there is gone, and the news of what has ended. */
+/* Drops the worker's runs and its unacknowledged ends. */
 static void
-drop_runs (struct world *world, struct world_worker *w)
+drop_runs_and_ends (struct world *world, struct world_worker *w)
 {
   for (guint i = 0; i < w->runs->len; i++)
-    note_crash_under (world, g_array_index (w->runs, struct world_run, i).task);
+    count_crash_during (world, g_array_index (w->runs, struct world_run, i).task);
   for (guint i = 0; i < w->ends->len; i++)
-    note_crash_under (world, g_array_index (w->ends, struct world_end, i).task);
+    count_crash_during (world, g_array_index (w->ends, struct world_end, i).task);
   g_array_set_size (w->runs, 0);
   g_array_set_size (w->ends, 0);
 }
 
 static void
-note_crashing (struct world *world, struct world_worker *w, const char *task)
+schedule_crash (struct world *world, struct world_worker *w, const char *task)
 {
   void *count;
 
-  if (!g_hash_table_lookup_extended (world->crashing, task, NULL, &count))
+  if (!g_hash_table_lookup_extended (world->crashing_tasks, task, NULL, &count))
     return;
-  g_hash_table_insert (world->crashing, g_strdup (task),
+  g_hash_table_insert (world->crashing_tasks, g_strdup (task),
                        GUINT_TO_POINTER (GPOINTER_TO_UINT (count) + 1));
   if (w->crashes_at == 0)
-    w->crashes_at = world->now + world->crash_ms;
+    w->crashes_at = world->now + world->crash_delay_ms;
 }
 
 void
 world_crash (struct world *world, struct world_worker *w)
 {
   w->crashes_at = 0;
-  w->back_at = world->now + WORLD_DOWN_MS;
-  drop_runs (world, w);
+  w->recovers_at = world->now + WORLD_DOWNTIME_MS;
+  drop_runs_and_ends (world, w);
 }
 
 static void
-come_back (struct world *world, struct world_worker *w)
+recover (struct world *world, struct world_worker *w)
 {
-  w->back_at = 0;
-  if (!world->new_ids)
+  w->recovers_at = 0;
+  if (!world->new_id_after_crash)
     {
       world_reboot (world, w);
       return;
     }
-  w->replaced = w->gone = true;
-  w->born++;
-  if (w->holding)
-    lose_hold (world, w);
+  w->replaced = w->unregistered = true;
+  w->started_at_ms++;
+  if (w->hold_pending)
+    fail_hold (world, w);
   world_add_worker (world, "r1");
 }
 
 static void
-work (struct world *world, struct world_worker *w)
+advance_worker (struct world *world, struct world_worker *w)
 {
   if (w->crashes_at != 0 && world->now >= w->crashes_at)
     world_crash (world, w);
-  if (w->back_at != 0 && world->now >= w->back_at)
-    come_back (world, w);
-  if (w->lease != 0 && world->now > w->lease)
+  if (w->recovers_at != 0 && world->now >= w->recovers_at)
+    recover (world, w);
+  if (w->lease_end_ms != 0 && world->now > w->lease_end_ms)
     {
       for (guint i = 0; i < w->ends->len; i++)
-        g_array_index (w->ends, struct world_end, i).lapsed = true;
+        g_array_index (w->ends, struct world_end, i).lease_expired = true;
       while (w->runs->len > 0)
         end_run (w, 0, MT_END_LEASE_EXPIRED);
     }
@@ -316,36 +317,36 @@
     {
       struct world_run *r = &g_array_index (w->runs, struct world_run, i - 1);
 
-      if (r->stops != 0 && world->now >= r->stops)
+      if (r->stops_at != 0 && world->now >= r->stops_at)
         end_run (w, i - 1, MT_END_STOPPED);
       else if (r->fails)
         end_run (w, i - 1, MT_END_FAILED);
-      else if (r->stops == 0 && !r->still && r->ends >= 0 && world->now >= r->ends)
+      else if (r->stops_at == 0 && !r->stalled && r->ends_at >= 0 && world->now >= r->ends_at)
         end_run (w, i - 1, MT_END_DONE);
     }
 }
 
 static int64_t
-run_time (const struct world *world, const struct world_worker *w, const char *task)
+run_end_time (const struct world *world, const struct world_worker *w, const char *task)
 {
-  return world->run_ms < 0 || task[0] == WORLD_LONG_RUNNING_ID
+  return world->run_ms < 0 || task[0] == WORLD_LONG_RUNNING_PREFIX
              ? -1
-             : world->now + (int64_t) (w->slow * (double) world->run_ms);
+             : world->now + (int64_t) (w->run_time_factor * (double) world->run_ms);
 }
 
-/* A worker whose lease is not over has it among its ends. */
+/* True if a worker with a valid lease lists the task as done. */
 static bool
-is_done (const struct world *world, const char *task)
+is_completed (const struct world *world, const char *task)
 {
   for (unsigned i = 0; i < world->n_workers; i++)
     {
       const struct world_worker *w = &world->workers[i];
 
-      for (guint j = 0; w->lease >= world->now && j < w->ends->len; j++)
+      for (guint j = 0; w->lease_end_ms >= world->now && j < w->ends->len; j++)
         {
           const struct world_end *e = &g_array_index (w->ends, struct world_end, j);
 
-          if (e->how == MT_END_DONE && !e->lapsed && strcmp (e->task, task) == 0)
+          if (e->kind == MT_END_DONE && !e->lease_expired && strcmp (e->task, task) == 0)
             return true;
         }
     }
@@ -353,102 +354,105 @@
 }
 
 static void
-start (struct world *world, struct world_worker *w, const struct mt_order *order)
+start_run (struct world *world, struct world_worker *w, const struct mt_order *order)
 {
   struct world_run r = { .run = order->run,
-                         .began = world->now,
-                         .ends = run_time (world, w, order->task),
-                         .fails = w->sick,
-                         .still = w->stalls,
-                         .pace = 100 };
-
-  if (world_running (world, order->task) > 0)
-    world->twice++;
-  if (is_done (world, order->task))
-    world->redone++;
+                         .started_at = world->now,
+                         .ends_at = run_end_time (world, w, order->task),
+                         .fails = w->fails_runs,
+                         .stalled = w->stalls_runs,
+                         .pace_percent = 100 };
+
+  if (world_count_running (world, order->task) > 0)
+    world->duplicate_starts++;
+  if (is_completed (world, order->task))
+    world->redundant_starts++;
   memcpy (r.task, order->task, sizeof r.task);
-  w->lease = MAX (w->lease, order->lease_end_ms);
-  w->starts++;
+  w->lease_end_ms = MAX (w->lease_end_ms, order->lease_end_ms);
+  w->n_starts++;
   w->last_run = order->run;
-  world->started++;
+  world->n_starts++;
   g_array_append_val (w->runs, r);
-  note_crashing (world, w, order->task);
+  schedule_crash (world, w, order->task);
 }
 
 static enum mt_answer
-start_unless_past (struct world *world, struct world_worker *w, const struct mt_order *order)
+try_start_run (struct world *world, struct world_worker *w, const struct mt_order *order)
 {
   if (order->lease_end_ms != 0 && order->lease_end_ms < world->now)
     return MT_ANSWER_LEASE_EXPIRED;
-  if (order->run <= GPOINTER_TO_UINT (g_hash_table_lookup (w->past, order->task)))
+  if (order->run <= GPOINTER_TO_UINT (g_hash_table_lookup (w->highest_ended_runs, order->task)))
     return MT_ANSWER_STALE_RUN;
-  start (world, w, order);
+  start_run (world, w, order);
   return MT_ANSWER_OK;
 }
 
 static enum mt_answer
-carry_out (struct world *world,
-           struct world_worker *w,
-           const struct mt_order *order,
-           unsigned token)
+execute_order (struct world *world,
+               struct world_worker *w,
+               const struct mt_order *order,
+               unsigned token)
 {
-  guint at;
-  struct world_run *r = find_run (w, order->task, order->run, &at);
+  guint index;
+  struct world_run *r = find_run (w, order->task, order->run, &index);
 
-  if (token < w->fence)
+  if (token < w->highest_token)
     return MT_ANSWER_FENCED;
-  w->fence = token;
+  w->highest_token = token;
   if (order->kind == MT_ORDER_START && r == NULL)
-    return start_unless_past (world, w, order);
+    return try_start_run (world, w, order);
   if (order->kind == MT_ORDER_STOP && r == NULL)
-    note_past (w, order->task, order->run);
-  else if (order->kind == MT_ORDER_STOP && r->stops == 0)
-    r->stops = world->now + world->stop_ms;
+    record_ended_run (w, order->task, order->run);
+  else if (order->kind == MT_ORDER_STOP && r->stops_at == 0)
+    r->stops_at = world->now + world->stop_ms;
   else if (order->kind == MT_ORDER_PACE && r != NULL)
-    r->pace = order->percent;
+    r->pace_percent = order->percent;
   return MT_ANSWER_OK;
 }
 
 static void
-put_off (struct world *world, struct world_worker *w, const struct mt_order *order)
+delay_order (struct world *world, struct world_worker *w, const struct mt_order *order)
 {
-  struct world_late late = { .worker = w,
-                             .kind = order->kind,
-                             .run = order->run,
-                             .lease_ms = order->lease_end_ms,
-                             .token = world->token,
-                             .born = w->born,
-                             .at = world->now + w->late_ms };
+  struct world_delayed_order delayed = { .worker = w,
+                                         .kind = order->kind,
+                                         .run = order->run,
+                                         .lease_end_ms = order->lease_end_ms,
+                                         .token = world->token,
+                                         .worker_started_at_ms = w->started_at_ms,
+                                         .execute_at = world->now + w->order_delay_ms };
 
-  memcpy (late.task, order->task, sizeof late.task);
-  g_array_append_val (world->late, late);
+  memcpy (delayed.task, order->task, sizeof delayed.task);
+  g_array_append_val (world->delayed_orders, delayed);
 }
 
 static void
-carry_out_late (struct world *world)
+execute_delayed_orders (struct world *world)
 {
-  for (guint i = world->late->len; i > 0; i--)
+  for (guint i = world->delayed_orders->len; i > 0; i--)
     {
-      struct world_late late = g_array_index (world->late, struct world_late, i - 1);
-      struct mt_order order = { .kind = late.kind, .run = late.run, .lease_end_ms = late.lease_ms };
+      struct world_delayed_order delayed
+          = g_array_index (world->delayed_orders, struct world_delayed_order, i - 1);
+      struct mt_order order
+          = { .kind = delayed.kind, .run = delayed.run, .lease_end_ms = delayed.lease_end_ms };
 
-      if (world->now < late.at)
+      if (world->now < delayed.execute_at)
         continue;
-      g_array_remove_index (world->late, i - 1);
-      memcpy (order.task, late.task, sizeof order.task);
-      if (late.worker->born == late.born && late.worker->back_at == 0)
-        carry_out (world, late.worker, &order, late.token);
+      g_array_remove_index (world->delayed_orders, i - 1);
+      memcpy (order.task, delayed.task, sizeof order.task);
+      if (delayed.worker->started_at_ms == delayed.worker_started_at_ms
+          && delayed.worker->recovers_at == 0)
+        execute_order (world, delayed.worker, &order, delayed.token);
     }
 }
 
 static unsigned
-progress (const struct world *world, const struct world_run *r)
+progress_percent (const struct world *world, const struct world_run *r)
 {
-  if (r->still)
+  if (r->stalled)
     return 3;
-  if (r->ends < 0)
+  if (r->ends_at < 0)
     return 100;
-  return (unsigned) (100 * (world->now - r->began) / MAX (r->ends - r->began, 1));
+  return (unsigned) (100 * (world->now - r->started_at) / MAX (r->ends_at - r->started_at, 1));
 }
 
 static void
@@ -458,7 +462,7 @@
   struct mt_end_row ends[512];
   struct mt_hold_report report = { .answer = MT_ANSWER_OK,
                                    .clock_ms = world->now - w->clock_lag_ms,
-                                   .started_at_ms = w->born,
+                                   .started_at_ms = w->started_at_ms,
                                    .running = runs,
                                    .ended = ends };
 
@@ -467,205 +471,209 @@
       const struct world_run *r = &g_array_index (w->runs, struct world_run, i);
 
       runs[report.n_running++]
-          = (struct mt_run_row){ r->task, r->run, NULL, progress (world, r), w->gauge };
+          = (struct mt_run_row){ r->task, r->run, NULL, progress_percent (world, r), w->gauge };
     }
   for (guint i = 0; i < w->ends->len && i < 512; i++)
     {
       const struct world_end *e = &g_array_index (w->ends, struct world_end, i);
 
-      ends[report.n_ended++] = (struct mt_end_row){ e->number, e->task, e->run, e->how, NULL };
+      ends[report.n_ended++] = (struct mt_end_row){ e->sequence, e->task, e->run, e->kind, NULL };
     }
-  w->holding = false;
-  mt_scheduler_hold_answered (world->sched, w->id, &report, w->hold_sent, world->now);
+  w->hold_pending = false;
+  mt_scheduler_hold_answered (world->sched, w->id, &report, w->hold_sent_at, world->now);
 }
 
 static void
-hold (struct world *world, struct world_worker *w, const struct mt_order *order)
+receive_hold (struct world *world, struct world_worker *w, const struct mt_order *order)
 {
   if (w->replaced)
     {
-      struct mt_hold_report other = { .answer = MT_ANSWER_OTHER_INCARNATION, .clock_ms = -1 };
+      struct mt_hold_report report = { .answer = MT_ANSWER_OTHER_INCARNATION, .clock_ms = -1 };
 
-      mt_scheduler_hold_answered (world->sched, w->id, &other, world->now - 1, world->now);
+      mt_scheduler_hold_answered (world->sched, w->id, &report, world->now - 1, world->now);
       return;
     }
-  if (is_silent (w))
+  if (is_unreachable (w))
     {
-      w->holding = true;
-      w->hold_sent = world->now - 1;
-      w->hold_until = world->now;
+      w->hold_pending = true;
+      w->hold_sent_at = world->now - 1;
+      w->hold_deadline = world->now;
       return;
     }
-  w->fence = MAX (w->fence, world->token);
-  w->lease = MAX (w->lease, order->lease_end_ms);
+  w->highest_token = MAX (w->highest_token, world->token);
+  w->lease_end_ms = MAX (w->lease_end_ms, order->lease_end_ms);
   while (w->ends->len > 0
-         && g_array_index (w->ends, struct world_end, 0).number <= order->acked_end)
+         && g_array_index (w->ends, struct world_end, 0).sequence <= order->acked_end)
     g_array_remove_index (w->ends, 0);
-  w->holding = true;
-  w->hold_sent = world->now - 1;
-  w->hold_until = world->now + order->wait_ms;
+  w->hold_pending = true;
+  w->hold_sent_at = world->now - 1;
+  w->hold_deadline = world->now + order->wait_ms;
 }
 
-/* A hold that waits is answered by an end, or when its time is over. */
+/* Answers a pending hold as soon as a run has ended, or when its wait is over. */
 static void
-answer_holds (struct world *world)
+answer_pending_holds (struct world *world)
 {
   for (unsigned i = 0; i < world->n_workers; i++)
     {
       struct world_worker *w = &world->workers[i];
 
-      if (w->holding && !is_silent (w) && !w->mute && !w->unlisted
-          && (w->ends->len > 0 || world->now >= w->hold_until))
+      if (w->hold_pending && !is_unreachable (w) && !w->drops_all_answers && !w->drops_hold_answers
+          && (w->ends->len > 0 || world->now >= w->hold_deadline))
         answer_hold (world, w);
-      else if (w->holding && world->now >= w->hold_until + LOST_MS)
-        lose_hold (world, w);
+      else if (w->hold_pending && world->now >= w->hold_deadline + HOLD_TIMEOUT_MARGIN_MS)
+        fail_hold (world, w);
     }
 }
 
 static void
-obey (struct world *world, const struct mt_order *order)
+deliver_order (struct world *world, const struct mt_order *order)
 {
-  struct world_worker *w = find (world, order->worker);
+  struct world_worker *w = find_worker (world, order->worker);
   g_autofree char *id = g_strdup (order->worker);
   char task[80];
-  bool dropped = order->kind == MT_ORDER_START && w->drops > 0;
-  bool lost = is_silent (w) || w->mute || w->loses || dropped || w->late_ms > 0;
+  bool start_dropped = order->kind == MT_ORDER_START && w->starts_to_drop > 0;
+  bool answer_lost = is_unreachable (w) || w->drops_all_answers || w->drops_order_answers
+                     || start_dropped || w->order_delay_ms > 0;
   enum mt_answer answer = MT_ANSWER_NONE;
 
   memcpy (task, order->task, sizeof task);
   if (order->kind == MT_ORDER_HOLD)
     {
-      hold (world, w, order);
+      receive_hold (world, w, order);
       return;
     }
   if (w->replaced)
     answer = MT_ANSWER_OTHER_INCARNATION;
-  else if (dropped)
-    w->drops--;
-  else if (w->late_ms > 0)
-    put_off (world, w, order);
-  else if (!is_silent (w))
-    answer = carry_out (world, w, order, world->token);
-  if (lost)
+  else if (start_dropped)
+    w->starts_to_drop--;
+  else if (w->order_delay_ms > 0)
+    delay_order (world, w, order);
+  else if (!is_unreachable (w))
+    answer = execute_order (world, w, order, world->token);
+  if (answer_lost)
     answer = MT_ANSWER_NONE;
   mt_scheduler_order_answered (world->sched, order->kind, id, task, order->run, answer,
-                               lost ? -1 : world->now - w->clock_lag_ms, world->now);
+                               answer_lost ? -1 : world->now - w->clock_lag_ms, world->now);
 }
 
-/* ---- a link that carries so much ---- */
+/* ---- the leader's link ---- */
 
 static void
-send (struct world *world, const struct mt_order *order)
+send_over_link (struct world *world, const struct mt_order *order)
 {
-  size_t bytes = order->kind == MT_ORDER_START ? START_BYTES : ORDER_BYTES;
-  int64_t patience = order->kind == MT_ORDER_HOLD ? order->wait_ms + LOST_MS : ORDER_MS;
-  struct world_sent sent = { .order = *order, .token = world->token };
+  size_t bytes = order->kind == MT_ORDER_START ? START_ORDER_BYTES : OTHER_ORDER_BYTES;
+  int64_t timeout_ms
+      = order->kind == MT_ORDER_HOLD ? order->wait_ms + HOLD_TIMEOUT_MARGIN_MS : ORDER_TIMEOUT_MS;
+  struct world_sent_order sent = { .order = *order, .token = world->token };
 
   sent.order.worker = g_strdup (order->worker);
-  sent.born = find (world, order->worker)->born;
+  sent.worker_started_at_ms = find_worker (world, order->worker)->started_at_ms;
   sent.order.payload = sent.order.checkpoint = sent.order.ticket = NULL;
   sent.order.workers = NULL;
-  world->link_free
-      = MAX (world->link_free, world->now) + (int64_t) ((double) bytes / world->link_bytes_per_ms);
-  sent.leaves = world->link_free;
-  sent.given_up = world->now + order->link_delay_ms + patience;
-  g_array_append_val (world->sent, sent);
+  world->link_idle_at = MAX (world->link_idle_at, world->now)
+                        + (int64_t) ((double) bytes / world->link_bytes_per_ms);
+  sent.departs_at = world->link_idle_at;
+  sent.times_out_at = world->now + order->link_delay_ms + timeout_ms;
+  g_array_append_val (world->sent_orders, sent);
 }
 
 static void
-give_up (struct world *world, struct world_sent *sent)
+abandon_order (struct world *world, struct world_sent_order *sent)
 {
-  struct world_worker *w = find (world, sent->order.worker);
+  struct world_worker *w = find_worker (world, sent->order.worker);
 
-  sent->unanswered = true;
+  sent->abandoned = true;
   if (sent->order.kind == MT_ORDER_HOLD)
-    lose_hold (world, w);
+    fail_hold (world, w);
   else
     mt_scheduler_order_answered (world->sched, sent->order.kind, w->id, sent->order.task,
                                  sent->order.run, MT_ANSWER_NONE, -1, world->now);
 }
 
-/* It was given up, and is carried out all the same. */
+/* The leader no longer waits for the answer, but the worker executes the order. */
 static void
-obey_unheard (struct world *world, const struct world_sent *sent)
+deliver_abandoned_order (struct world *world, const struct world_sent_order *sent)
 {
-  struct world_worker *w = find (world, sent->order.worker);
+  struct world_worker *w = find_worker (world, sent->order.worker);
 
-  if (sent->born != w->born || w->back_at != 0)
+  if (sent->worker_started_at_ms != w->started_at_ms || w->recovers_at != 0)
     return;
   if (sent->order.kind != MT_ORDER_HOLD)
     {
-      carry_out (world, w, &sent->order, sent->token);
+      execute_order (world, w, &sent->order, sent->token);
       return;
     }
-  if (sent->token < w->fence)
+  if (sent->token < w->highest_token)
     return;
-  w->fence = sent->token;
-  w->lease = MAX (w->lease, sent->order.lease_end_ms);
+  w->highest_token = sent->token;
+  w->lease_end_ms = MAX (w->lease_end_ms, sent->order.lease_end_ms);
 }
 
 static void
-pass_link (struct world *world)
+advance_link (struct world *world)
 {
-  for (guint i = 0; i < world->sent->len;)
+  for (guint i = 0; i < world->sent_orders->len;)
     {
-      struct world_sent sent = g_array_index (world->sent, struct world_sent, i);
-
-      if (!sent.unanswered
-          && (world->now >= sent.given_up
-              || (world->now >= sent.leaves && sent.born != find (world, sent.order.worker)->born)))
-        give_up (world, &g_array_index (world->sent, struct world_sent, i));
-      if (world->now < sent.leaves)
+      struct world_sent_order sent = g_array_index (world->sent_orders, struct world_sent_order, i);
+
+      if (!sent.abandoned
+          && (world->now >= sent.times_out_at
+              || (world->now >= sent.departs_at
+                  && sent.worker_started_at_ms
+                         != find_worker (world, sent.order.worker)->started_at_ms)))
+        abandon_order (world, &g_array_index (world->sent_orders, struct world_sent_order, i));
+      if (world->now < sent.departs_at)
         {
           i++;
           continue;
         }
-      sent = g_array_index (world->sent, struct world_sent, i);
-      g_array_remove_index (world->sent, i);
-      if (sent.unanswered)
-        obey_unheard (world, &sent);
+      sent = g_array_index (world->sent_orders, struct world_sent_order, i);
+      g_array_remove_index (world->sent_orders, i);
+      if (sent.abandoned)
+        deliver_abandoned_order (world, &sent);
       else
-        obey (world, &sent.order);
-      free_sent (&sent);
+        deliver_order (world, &sent.order);
+      clear_sent_order (&sent);
     }
 }
 
 static void
-send_or_obey (struct world *world, const struct mt_order *order)
+dispatch_order (struct world *world, const struct mt_order *order)
 {
   if (world->link_bytes_per_ms > 0)
-    send (world, order);
+    send_over_link (world, order);
   else
-    obey (world, order);
+    deliver_order (world, order);
 }
 
 static bool
 next_order (struct world *world, struct mt_order *order)
 {
   if (world->link_bytes_per_ms > 0)
-    mt_scheduler_set_link_delay (world->sched, MAX (world->link_free - world->now, 0), world->now);
+    mt_scheduler_set_link_delay (world->sched, MAX (world->link_idle_at - world->now, 0),
+                                 world->now);
   return world->holds_only ? mt_scheduler_next_hold (world->sched, world->now, order)
                            : mt_scheduler_next_order (world->sched, world->now, order);
 }
 
-/* What is there counts, also while it is being stopped; a start that is sent again is there
- * already.
- */
+/* Counts starts beyond the worker's resources. Runs that are being stopped count as in use; a
+ * repeated start of a present run needs no further resources. */
 static void
-check_room (struct world *world, const struct mt_order *order)
+check_capacity (struct world *world, const struct mt_order *order)
 {
-  struct world_worker *w = find (world, order->worker);
-  guint at;
+  struct world_worker *w = find_worker (world, order->worker);
+  guint index;
 
   if (world->task_cpu == 0 || order->kind != MT_ORDER_START
-      || find_run (w, order->task, order->run, &at) != NULL)
+      || find_run (w, order->task, order->run, &index) != NULL)
     return;
-  if ((w->runs->len + 1) * world->task_cpu > w->room.cpu)
-    world->overbooked++;
+  if ((w->runs->len + 1) * world->task_cpu > w->resources.cpu)
+    world->overcommitting_starts++;
 }
 
 static void
-store (struct world *world)
+begin_cycle (struct world *world)
 {
   GPtrArray *ids = mt_scheduler_cycle_begin (world->sched, world->now, world->now);
 
@@ -679,28 +687,28 @@
 }
 
 static void
-step (struct world *world)
+advance (struct world *world)
 {
   struct mt_order order;
-  unsigned bound = 2000;
+  unsigned max_orders = 2000;
 
   world->now += STEP_MS;
-  carry_out_late (world);
+  execute_delayed_orders (world);
   for (unsigned i = 0; i < world->n_workers; i++)
-    work (world, &world->workers[i]);
+    advance_worker (world, &world->workers[i]);
   if (!world->store_down && !world->in_cycle && mt_scheduler_needs_cycle (world->sched, world->now))
-    store (world);
+    begin_cycle (world);
   if (!world->store_down && world->in_cycle)
     {
       world->in_cycle = false;
       mt_scheduler_cycle_done (world->sched, world->now);
     }
-  pass_link (world);
-  answer_holds (world);
-  while (bound-- > 0 && !world->silent_leader && next_order (world, &order))
+  advance_link (world);
+  answer_pending_holds (world);
+  while (max_orders-- > 0 && !world->leader_silent && next_order (world, &order))
     {
-      check_room (world, &order);
-      send_or_obey (world, &order);
+      check_capacity (world, &order);
+      dispatch_order (world, &order);
       mt_order_clear (&order);
     }
 }
@@ -708,18 +716,18 @@
 void
 world_run (struct world *world, int64_t ms)
 {
-  for (int64_t at = 0; at < ms; at += STEP_MS)
-    step (world);
+  for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += STEP_MS)
+    advance (world);
 }
 
 bool
-world_until (struct world *world, const char *id, enum mt_job_state state, int64_t ms)
+world_run_until_state (struct world *world, const char *id, enum mt_job_state state, int64_t ms)
 {
-  for (int64_t at = 0; at < ms; at += STEP_MS)
+  for (int64_t elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += STEP_MS)
     {
       if (mt_scheduler_job_state (world->sched, id) == state)
         return true;
-      step (world);
+      advance (world);
     }
   return mt_scheduler_job_state (world->sched, id) == state;
 }
@@ -735,32 +743,32 @@
   world->token++;
   world->in_cycle = false;
   for (unsigned i = 0; i < world->n_workers; i++)
-    world->workers[i].holding = false;
-  for (guint i = 0; i < world->sent->len; i++)
-    g_array_index (world->sent, struct world_sent, i).unanswered = true;
-  world->link_free = world->now; /* the successor's machine has a link of its own */
-  mt_scheduler_set_route (world->sched, "route", &terms);
+    world->workers[i].hold_pending = false;
+  for (guint i = 0; i < world->sent_orders->len; i++)
+    g_array_index (world->sent_orders, struct world_sent_order, i).abandoned = true;
+  world->link_idle_at = world->now; /* the successor's machine has its own link */
+  mt_scheduler_set_route (world->sched, "route", &route_policy);
   for (guint i = 0; i < specs->len; i++)
     mt_scheduler_submit (world->sched, specs->pdata[i], world->now, world->now);
   g_hash_table_iter_init (&it, world->records);
   while (g_hash_table_iter_next (&it, (void **) &id, (void **) &record))
     mt_scheduler_restore (world->sched, id, record, 1, world->now);
   for (unsigned i = 0; i < world->n_workers; i++)
-    if (!world->workers[i].gone)
-      show (world, &world->workers[i]);
+    if (!world->workers[i].unregistered)
+      update_registry_entry (world, &world->workers[i]);
 }
 
 void
 world_reboot (struct world *world, struct world_worker *w)
 {
-  drop_runs (world, w);
-  w->crashes_at = w->back_at = 0;
-  g_hash_table_remove_all (w->past);
-  w->last_end = 0;
-  w->fence = 0;
-  w->lease = 0;
-  w->born++;
-  if (w->holding)
-    lose_hold (world, w);
-  show (world, w);
+  drop_runs_and_ends (world, w);
+  w->crashes_at = w->recovers_at = 0;
+  g_hash_table_remove_all (w->highest_ended_runs);
+  w->last_end_sequence = 0;
+  w->highest_token = 0;
+  w->lease_end_ms = 0;
+  w->started_at_ms++;
+  if (w->hold_pending)
+    fail_hold (world, w);
+  update_registry_entry (world, w);
 }
--- a/tests/scheduler/world.h
+++ b/tests/scheduler/world.h
@@ -1,6 +1,7 @@
-/* Workers for a scheduler, on a paused clock: they take orders, run tasks for as long as the test
- * says, and list ends, as the published protocol has it. Each order and each write takes effect at
- * once unless the test holds it back. */
+/* Simulated workers and store for a scheduler, on a simulated clock. Workers accept orders, run
+ * tasks for a time set by the test and report runs that ended, as the published protocol defines.
+ * Orders and store writes take effect immediately unless the test delays them. Times are
+ * milliseconds of the simulated clock. */
 #ifndef TESTS_WORK_WORLD_H
 #define TESTS_WORK_WORLD_H
 
@@ -8,151 +9,151 @@
 
 #define WORLD_MAX_WORKERS 64
 #define WORLD_MAX_RUNS    8192
-/* Tasks of jobs whose id begins so never end by themselves. */
-#define WORLD_LONG_RUNNING_ID 'L'
-/* A worker that crashed is back after so long. */
-#define WORLD_DOWN_MS 3000
+/* Tasks of jobs whose id starts with this character run until they are stopped. */
+#define WORLD_LONG_RUNNING_PREFIX 'L'
+/* A crashed worker restarts after this time. */
+#define WORLD_DOWNTIME_MS 3000
 
 struct world_run
 {
   char task[80];
   unsigned run;
-  int64_t began;
-  int64_t ends; /* -1: never by itself */
+  int64_t started_at;
+  int64_t ends_at; /* -1: runs until it is stopped */
   bool fails;
-  bool still;    /* makes no progress */
-  int64_t stops; /* when a stop has taken effect; 0 for none */
-  unsigned pace;
+  bool stalled;     /* makes no progress */
+  int64_t stops_at; /* when a requested stop takes effect; 0: no stop requested */
+  unsigned pace_percent;
 };
 
 struct world_end
 {
-  int64_t number;
+  int64_t sequence;
   char task[80];
   unsigned run;
-  enum mt_end_kind how;
-  bool lapsed; /* the worker's lease was over after it: it proves nothing any more */
+  enum mt_end_kind kind;
+  bool lease_expired; /* the worker's lease expired after this end: it proves no completion */
 };
 
 struct world_worker
 {
   char id[16];
-  bool silent;          /* orders get no answer and are not carried out */
-  bool mute;            /* orders are carried out, and get no answer */
-  bool loses;           /* orders are carried out, and get no answer; holds do */
-  bool unlisted;        /* holds get no answer; orders do */
-  unsigned drops;       /* so many starts to come are not carried out and get no answer */
-  int64_t clock_lag_ms; /* its answers show its clock as it was so long ago */
-  int64_t late_ms;      /* orders get no answer and are carried out so much later; 0: at once */
-  int64_t crashes_at;   /* by what it runs; 0 */
-  int64_t back_at;      /* it crashed, and is back then; 0 while it is up */
-  bool replaced;        /* another worker answers at its address */
-  bool sick;            /* all that it starts fails at once */
-  bool stalls;          /* all that it starts stands still */
-  double slow;          /* run times in multiples */
-  bool gone;            /* not in the registry */
-  bool leaving;         /* the registry says that it leaves */
-  int64_t gauge;        /* what it says of each run */
-  struct mt_resources room;
+  bool silent;              /* neither executes nor answers orders */
+  bool drops_all_answers;   /* executes orders and holds, answers neither */
+  bool drops_order_answers; /* executes orders without an answer; answers holds */
+  bool drops_hold_answers;  /* answers orders, not holds */
+  unsigned starts_to_drop;  /* number of next starts that are neither executed nor answered */
+  int64_t clock_lag_ms;     /* answers carry the worker's clock as of this long ago */
+  int64_t order_delay_ms;   /* orders execute after this delay, without an answer; 0: at once */
+  int64_t crashes_at;       /* when a crashing task takes the worker down; 0: no crash pending */
+  int64_t recovers_at;      /* when a crashed worker restarts; 0: the worker is up */
+  bool replaced;            /* another worker answers at this worker's address */
+  bool fails_runs;          /* every run fails at once */
+  bool stalls_runs;         /* runs make no progress */
+  double run_time_factor;   /* multiplies run times */
+  bool unregistered;        /* not in the registry */
+  bool leaving;             /* marked as leaving in the registry */
+  int64_t gauge;            /* gauge reported for each run */
+  struct mt_resources resources;
   struct mt_resources used;
-  int64_t born;
-  int64_t lease; /* on its clock, which is the world's */
-  GArray *runs;  /* struct world_run */
-  GArray *ends;  /* struct world_end not forgotten yet */
-  int64_t last_end;
-  bool holding; /* a hold waits here for an end, until hold_until */
-  int64_t hold_until;
-  int64_t hold_sent;
-  unsigned starts;
-  unsigned last_run; /* the number of the run it started last */
-  GHashTable *past;  /* task to the highest run that ended or was stopped here */
-  unsigned fence;    /* highest token seen */
+  int64_t started_at_ms; /* identifies the incarnation */
+  int64_t lease_end_ms;  /* on the worker's clock, which is the simulated clock */
+  GArray *runs;          /* struct world_run */
+  GArray *ends;          /* struct world_end not acknowledged yet */
+  int64_t last_end_sequence;
+  bool hold_pending; /* a hold waits for an end, until hold_deadline */
+  int64_t hold_deadline;
+  int64_t hold_sent_at;
+  unsigned n_starts;
+  unsigned last_run;              /* number of the run started last */
+  GHashTable *highest_ended_runs; /* task to the highest run that ended or was stopped here */
+  unsigned highest_token;         /* highest fencing token seen */
 };
 
-/* An order that is carried out late, whoever leads then. */
-struct world_late
+/* An order that a worker executes after a delay, even if the leader has changed by then. */
+struct world_delayed_order
 {
   struct world_worker *worker;
   enum mt_order_kind kind;
   char task[80];
   unsigned run;
-  int64_t lease_ms;
+  int64_t lease_end_ms;
   unsigned token;
-  int64_t born; /* of the life that it is meant for */
-  int64_t at;
+  int64_t worker_started_at_ms; /* incarnation that the order is addressed to */
+  int64_t execute_at;
 };
 
-/* An order on its way through the leader's link. */
-struct world_sent
+/* An order in transit on the leader's link. */
+struct world_sent_order
 {
-  struct mt_order order; /* its worker's id is owned, other strings are left out */
-  unsigned token;        /* of the leader that sent it */
-  int64_t born;          /* of the life that it is meant for */
-  int64_t leaves;
-  int64_t given_up; /* when its answer is no longer waited for */
-  bool unanswered;  /* it was given up before it left, or its leader is gone */
+  struct mt_order order;        /* owns the worker id; its other strings are NULL */
+  unsigned token;               /* of the leader that sent the order */
+  int64_t worker_started_at_ms; /* incarnation that the order is addressed to */
+  int64_t departs_at;
+  int64_t times_out_at; /* when the leader stops waiting for the answer */
+  bool abandoned;       /* timed out before it departed, or its leader was replaced */
 };
 
 struct world
 {
   struct mt_scheduler *sched;
-  unsigned token; /* the leader's, counted up by each takeover */
+  unsigned token; /* the leader's fencing token, incremented by each takeover */
   int64_t now;
-  GArray *late;             /* struct world_late */
-  double link_bytes_per_ms; /* what the leader's link carries; 0: all at once */
-  int64_t link_free;        /* when all that was sent has left */
-  GArray *sent;             /* struct world_sent */
+  GArray *delayed_orders;   /* struct world_delayed_order */
+  double link_bytes_per_ms; /* capacity of the leader's link; 0: unlimited */
+  int64_t link_idle_at;     /* when everything queued on the link has departed */
+  GArray *sent_orders;      /* struct world_sent_order */
   struct world_worker workers[WORLD_MAX_WORKERS];
   unsigned n_workers;
-  bool store_down; /* cycles don't end */
+  bool store_down; /* write cycles don't complete */
   bool in_cycle;
-  bool holds_only;    /* the leader isn't sure of its lease, in an outage of the store */
-  bool silent_leader; /* ... or cut off: it sends nothing */
-  int64_t run_ms;     /* of a task whose job says nothing else; -1: never ends */
-  int64_t stop_ms;    /* from the order to the end of the run */
-  unsigned started;
-  unsigned twice;      /* starts of a task that runs elsewhere */
-  unsigned redone;     /* starts of a task that a worker under a lease has done */
-  int64_t task_cpu;    /* of each task, where overbooking is looked for; 0 */
-  unsigned overbooked; /* starts that were sent though they bring a worker over its listed room */
-  GHashTable
-      *crashing;    /* tasks that take down each worker that starts them, to how often they did */
-  int64_t crash_ms; /* ... so long after the start */
-  GHashTable *crashes; /* tasks to how many workers have crashed under them */
-  bool new_ids;        /* a machine that crashed is back as another worker, at the same address */
-  GHashTable *records; /* job id to what was stored last */
+  bool holds_only;    /* the leader sends holds only: a store outage leaves its lease uncertain */
+  bool leader_silent; /* the leader is partitioned and sends nothing */
+  int64_t run_ms;     /* run time of tasks that are not long-running; -1: until stopped */
+  int64_t stop_ms;    /* from the stop order to the end of the run */
+  unsigned n_starts;
+  unsigned duplicate_starts;      /* starts of a task that is running already */
+  unsigned redundant_starts;      /* starts of a task completed by a worker with a valid lease */
+  int64_t task_cpu;               /* CPU per task, to count overcommitting starts; 0: not counted */
+  unsigned overcommitting_starts; /* starts sent beyond the worker's registered resources */
+  GHashTable *crashing_tasks;  /* tasks that crash any worker that starts them, to their starts */
+  int64_t crash_delay_ms;      /* from the start of a crashing task to the crash */
+  GHashTable *crashes_by_task; /* tasks to the number of workers that crashed while running them */
+  bool new_id_after_crash;     /* a crashed machine returns as another worker, same address */
+  GHashTable *records;         /* job id to its last stored record */
 };
 
 struct world *world_create (void);
 void world_destroy (struct world *world);
-/* In the registry at once; 16 cores and 32 GB. */
+/* Registers a worker with 16 cores and 32 GB at once. */
 struct world_worker *world_add_worker (struct world *world, const char *rack);
-/* The registry says from now on that the worker has that much room. */
+/* Changes the CPU that the registry lists for the worker, in thousandths of a core. */
 void world_resize (struct world *world, struct world_worker *w, int64_t cpu);
-/* The registry says from now on that the worker leaves. */
-void world_leave (struct world *world, struct world_worker *w);
-/* One step of `count` tasks of `cpu` thousandths, each estimated at ms. */
+/* Marks the worker as leaving in the registry. */
+void world_mark_leaving (struct world *world, struct world_worker *w);
+/* One step of `count` tasks, each with `cpu` thousandths of a core and an estimate of `ms`. */
 struct mt_job_spec *world_job (const char *id, unsigned count, int64_t cpu, int64_t ms);
-/* Two steps of so many tasks, the second after the first. */
+/* Two steps with counts[0] and counts[1] tasks; the second starts after the first. */
 struct mt_job_spec *
-world_two_steps (const char *id, const unsigned counts[2], int64_t cpu, int64_t ms);
+world_two_step_job (const char *id, const unsigned counts[2], int64_t cpu, int64_t ms);
 void world_submit (struct world *world, struct mt_job_spec *spec);
-/* In steps of 5 ms. */
+/* Advances the simulation by `ms`, in steps of 5 ms. */
 void world_run (struct world *world, int64_t ms);
-/* Runs until the job has the state, within ms; false where it doesn't come. */
-bool world_until (struct world *world, const char *id, enum mt_job_state state, int64_t ms);
-/* The leader dies; its successor loads what is stored under a higher token. */
+/* Runs until the job has the state, for at most `ms`. False if it did not reach the state. */
+bool
+world_run_until_state (struct world *world, const char *id, enum mt_job_state state, int64_t ms);
+/* The leader dies. Its successor, under a higher token, loads the specs and the stored records. */
 void world_take_over (struct world *world, GPtrArray *specs);
-unsigned world_running (const struct world *world, const char *task);
-/* The machine restarts: nothing of before is left, under the same id. */
+unsigned world_count_running (const struct world *world, const char *task);
+/* Restarts the worker under the same id, without any of its former state. */
 void world_reboot (struct world *world, struct world_worker *w);
-/* The worker is silent and runs nothing; back after WORLD_DOWN_MS. */
+/* The worker loses its runs and answers nothing; it restarts after WORLD_DOWNTIME_MS. */
 void world_crash (struct world *world, struct world_worker *w);
-/* Each worker that starts the task crashes. */
+/* Makes the task crash every worker that starts it. */
 void world_add_crashing (struct world *world, const char *task);
-/* So many starts of it were carried out. */
-unsigned world_crashes_by (const struct world *world, const char *task);
-/* So many workers have crashed, or were rebooted, while they ran it. */
-unsigned world_crashes_under (const struct world *world, const char *task);
+/* Number of executed starts of a task added by world_add_crashing. */
+unsigned world_crashing_task_starts (const struct world *world, const char *task);
+/* Number of workers that crashed or were rebooted with a run, or an unacknowledged end, of it. */
+unsigned world_count_crashes_during (const struct world *world, const char *task);
 
 #endif
