--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -146,14 +146,14 @@
                                .headers = &header,
                                .n_headers = 1,
                                .deadline_us = due_us + options->deadline_ms * MT_MS,
-                               .max_answer = ANSWER_BYTES };
+                               .max_answer_bytes = ANSWER_BYTES };
   struct mt_arena *arena = mt_arena_create (REQUEST_BYTES);
   struct mt_http_answer answer;
   enum outcome outcome = LOST;
 
   if (mt_http_client_call (client, options->targets[worker->number % options->n_targets], &call,
                            arena, &answer, NULL)
-      == MT_HTTP_WHOLE)
+      == MT_HTTP_COMPLETE)
     outcome = sort_answer (&answer);
   worker->counts[outcome]++;
   if (outcome == WHOLE)
--- a/bench/rollout.c
+++ b/bench/rollout.c
@@ -49,15 +49,15 @@
     .method = "PUT",
     .path = "/fault",
     .body = mt_str_from (body),
-    .fresh = true,
+    .new_connection = true,
     .deadline_us = mt_clock_now (mt_clock_system ()) + CALL_US,
-    .max_answer = 1024,
+    .max_answer_bytes = 1024,
   };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer;
 
   if (mt_http_client_call (bench->client, bench->arguments.platform, &call, arena, &answer, NULL)
-      != MT_HTTP_WHOLE)
+      != MT_HTTP_COMPLETE)
     g_error ("the stand-in does not take faults");
   mt_arena_destroy (arena);
 }
--- a/ctl/command_top.c
+++ b/ctl/command_top.c
@@ -36,14 +36,14 @@
 {
   struct mt_http_call call = { .method = "GET",
                                .path = "/metrics",
-                               .fresh = true,
+                               .new_connection = true,
                                .deadline_us = mt_clock_now (mt_clock_system ()) + CALL_US,
-                               .max_answer = MAX_ANSWER };
+                               .max_answer_bytes = MAX_ANSWER };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer = { 0 };
   json_t *row = json_pack ("{ss}", "daemon", address);
 
-  if (mt_http_client_call (client, address, &call, arena, &answer, NULL) != MT_HTTP_WHOLE)
+  if (mt_http_client_call (client, address, &call, arena, &answer, NULL) != MT_HTTP_COMPLETE)
     json_object_set_new (row, "error", json_string ("no answer; see whether it runs"));
   else
     {
--- a/daemon/claims.h
+++ b/daemon/claims.h
@@ -64,7 +64,7 @@
                     enum mt_claim_end end,
                     int status);
 
-/* For mt_peer_server_handle with MT_PEER_CLAIM: commits what another daemon asks for. */
+/* For mt_peer_server_set_handler with MT_PEER_CLAIM: commits what another daemon asks for. */
 char *mt_claims_serve (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len);
 
 /* Adds how many claims are held, and each shard that can't be read. */
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -304,11 +304,11 @@
   struct mt_http_call call = { .method = "PUT",
                                .path = path,
                                .deadline_us = now_us (control) + control->options.call_us,
-                               .max_answer = REBOOT_BYTES };
+                               .max_answer_bytes = REBOOT_BYTES };
   struct mt_http_answer answer;
 
   if (mt_http_client_call (control->client, control->options.platform, &call, arena, &answer, NULL)
-          == MT_HTTP_WHOLE
+          == MT_HTTP_COMPLETE
       && answer.status == 200)
     {
       mt_log_event (MT_EVENT_REBOOT_ORDERED, "instance=%s epoch=%" G_GUINT64_FORMAT,
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -73,7 +73,7 @@
   mt_heartbeat_set_proxied (daemon->heartbeat, daemon->proxied);
   daemon->assign = (struct mt_assign_source){ daemon->views, daemon->proxied };
   mt_peers_carry (daemon->peers, mt_document_assign (), &daemon->assign);
-  mt_peer_server_handle (daemon->peer_server, MT_PEER_DUMP, serve_dump, daemon);
+  mt_peer_server_set_handler (daemon->peer_server, MT_PEER_DUMP, serve_dump, daemon);
   mt_view_listen_after (daemon->views, mt_peers_kick, daemon->peers);
 }
 
@@ -144,7 +144,7 @@
   claims.peers = daemon->peers;
   claims.name = settings->name.data;
   daemon->claims = mt_claims_create (&claims);
-  mt_peer_server_handle (daemon->peer_server, MT_PEER_CLAIM, mt_claims_serve, daemon->claims);
+  mt_peer_server_set_handler (daemon->peer_server, MT_PEER_CLAIM, mt_claims_serve, daemon->claims);
   feed.platform = settings->platform.data;
   feed.call_us = settings->limits.platform_ms * MT_MS;
   feed.views = daemon->views;
@@ -177,10 +177,10 @@
   struct mt_daemon *daemon = g_new0 (struct mt_daemon, 1);
   struct mt_http_server_options server = {
     .address = settings->listen.data,
-    .connections = settings->limits.connections,
-    .idle_s = settings->limits.idle_s,
-    .body_bytes = settings->limits.body_bytes,
-    .request_memory = request_memory (settings),
+    .max_connections = settings->limits.connections,
+    .idle_timeout_s = settings->limits.idle_s,
+    .max_body_bytes = settings->limits.body_bytes,
+    .max_request_memory_bytes = request_memory (settings),
     .handle = mt_front_handle,
   };
 
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -174,7 +174,7 @@
   struct attempt *attempt = ctx;
   enum mt_dispatch_result result = sort_result (outcome, answer);
 
-  if (outcome == MT_HTTP_WHOLE && has_header (answer, MT_STR ("Medlartrack-Leaving")))
+  if (outcome == MT_HTTP_COMPLETE && has_header (answer, MT_STR ("Medlartrack-Leaving")))
     mt_slot_set_leaving (attempt->slot);
   if (result == MT_DISPATCH_REFUSED)
     mt_counters_add (attempt->counters, MT_COUNTER_MINION_REFUSALS, 1);
@@ -208,17 +208,17 @@
   struct mt_http_header *headers
       = mt_arena_alloc (request->arena, (request->n_headers + 2) * sizeof *headers);
   struct attempt *attempt = g_new0 (struct attempt, 1);
-  struct mt_http_ended ended = { end_attempt, attempt };
+  struct mt_http_completion ended = { end_attempt, attempt };
   struct mt_http_call call = {
     .method = request->method.data,
     .path = request->path.data,
     .headers = headers,
     .body = request->body,
-    .fresh = plan->repeat == MT_REPEAT_NEVER,
+    .new_connection = plan->repeat == MT_REPEAT_NEVER,
     .id = plan->id,
     .deadline_us = plan->deadline_us,
-    .max_answer = front->options.answer_bytes,
-    .connections = mt_slot_connections (slot),
+    .max_answer_bytes = front->options.answer_bytes,
+    .max_connections = mt_slot_connections (slot),
   };
 
   attempt->slot = slot;
@@ -282,7 +282,7 @@
         tries->reason = describe_slot_failure (front, taken);
       return TRY_REFUSED;
     }
-  if (!mt_slot_has_waited (*slot) || !mt_http_request_is_gone (request))
+  if (!mt_slot_has_waited (*slot) || !mt_http_request_is_aborted (request))
     return TRY_WHOLE;
   mt_slot_give_back (*slot, MT_DISPATCH_UNUSED);
   mt_counters_add (front->options.counters, MT_COUNTER_CALLERS_GONE, 1);
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -69,9 +69,9 @@
 }
 
 static void
-take_worker (struct mt_jobs *book, const struct mt_worker_news *news)
+take_worker (struct mt_jobs *book, const struct mt_worker_update *news)
 {
-  struct mt_worker_spec spec = { news->name, news->rack, "", news->size, news->lease };
+  struct mt_worker_spec spec = { news->name, news->rack, "", news->resources, news->lease };
 
   if (mt_jobs_worker_pool (book, news->name) != NULL)
     spec.pool = mt_jobs_worker_pool (book, news->name);
@@ -84,7 +84,7 @@
 }
 
 static void
-take_task (struct mt_jobs_runner *runner, struct mt_jobs *book, const struct mt_task_news *news)
+take_task (struct mt_jobs_runner *runner, struct mt_jobs *book, const struct mt_task_update *news)
 {
   struct mt_job_report report
       = { news->kind,  news->job,   news->worker,
@@ -94,10 +94,10 @@
 }
 
 static void
-take_workers (struct mt_jobs *book, const struct mt_workers_news *news)
+take_workers (struct mt_jobs *book, const struct mt_workers_updates *news)
 {
   for (guint i = 0; i < news->workers->len; i++)
-    take_worker (book, &g_array_index (news->workers, struct mt_worker_news, i));
+    take_worker (book, &g_array_index (news->workers, struct mt_worker_update, i));
 }
 
 /* Which pool each worker serves now, by its instance's assignment. */
@@ -204,7 +204,7 @@
 
 static bool
 poll_news (struct mt_jobs_runner *runner,
-           struct mt_workers_news *news,
+           struct mt_workers_updates *news,
            int64_t wait_us,
            GError **error)
 {
@@ -222,7 +222,7 @@
   struct mt_jobs_options options = mt_jobs_default_options ();
   struct mt_jobs *book = mt_jobs_create (runner->options.clock, &options);
   uint64_t writer = (uint64_t) g_random_int () << 32 | g_random_int ();
-  struct mt_workers_news news;
+  struct mt_workers_updates news;
   bool ok;
 
   runner->journal = mt_jobs_journal_create (runner->options.store, runner->options.zone, writer);
@@ -235,8 +235,8 @@
       ok = mt_jobs_journal_load (runner->journal, book, error);
     }
   for (guint i = 0; ok && i < news.tasks->len; i++)
-    take_task (runner, book, &g_array_index (news.tasks, struct mt_task_news, i));
-  mt_workers_news_clear (&news);
+    take_task (runner, book, &g_array_index (news.tasks, struct mt_task_update, i));
+  mt_workers_updates_clear (&news);
   set_book (runner, book);
   if (ok)
     mt_log_event (MT_EVENT_JOBS_LOADED, "zone=%s", runner->options.zone);
@@ -246,7 +246,7 @@
 static bool
 take_news (struct mt_jobs_runner *runner, GError **error)
 {
-  struct mt_workers_news news;
+  struct mt_workers_updates news;
   bool ok = poll_news (runner, &news, NEWS_WAIT_US, error);
 
   if (ok)
@@ -254,10 +254,10 @@
       g_mutex_lock (&runner->lock);
       take_workers (runner->book, &news);
       for (guint i = 0; i < news.tasks->len; i++)
-        take_task (runner, runner->book, &g_array_index (news.tasks, struct mt_task_news, i));
+        take_task (runner, runner->book, &g_array_index (news.tasks, struct mt_task_update, i));
       g_mutex_unlock (&runner->lock);
     }
-  mt_workers_news_clear (&news);
+  mt_workers_updates_clear (&news);
   return ok;
 }
 
@@ -274,7 +274,7 @@
       && mt_jobs_journal_append (runner->journal, (struct mt_str){ batch->str, batch->len }, error)
              != MT_JOURNAL_RECORDED)
     return false;
-  if (actions->len > 0 && !mt_workers_act (runner->options.workers, actions, &lost))
+  if (actions->len > 0 && !mt_workers_send_actions (runner->options.workers, actions, &lost))
     mt_log_event (MT_EVENT_JOBS_ACTIONS_LOST, "count=%u why=%s", actions->len, lost->message);
   return mt_jobs_journal_compact (runner->journal, runner->book, error) == MT_JOURNAL_RECORDED;
 }
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -247,8 +247,8 @@
   peers->membership = mt_membership_create (&membership);
   for (size_t i = 0; i < settings->n_peers; i++)
     mt_peers_add_addresses (peers, &settings->peers[i].data, 1);
-  mt_peer_server_handle (peers->server, MT_PEER_HEARTBEAT, serve_heartbeat, peers);
-  mt_peer_server_handle (peers->server, MT_PEER_LEAVING, serve_heartbeat, peers);
+  mt_peer_server_set_handler (peers->server, MT_PEER_HEARTBEAT, serve_heartbeat, peers);
+  mt_peer_server_set_handler (peers->server, MT_PEER_LEAVING, serve_heartbeat, peers);
   return peers;
 }
 
@@ -260,7 +260,7 @@
   served->document = document;
   served->ctx = ctx;
   mt_documents_add (peers->documents, document, ctx);
-  mt_peer_server_handle (peers->server, document->type, serve_document, served);
+  mt_peer_server_set_handler (peers->server, document->type, serve_document, served);
   peers->served = g_slist_prepend (peers->served, served);
 }
 
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -323,7 +323,7 @@
 {
   struct mt_fleet *f = ctx;
   bool ready = f->config != NULL && !f->stopping && store_answered_recently (f)
-               && mt_adapter_store_answers (f->platform);
+               && mt_adapter_store_available (f->platform);
 
   mt_exchange_answer (exchange, ready ? 200 : 503, "text/plain",
                       ready ? MT_STR ("ready\n") : MT_STR ("not ready\n"), 0);
@@ -379,7 +379,8 @@
   mt_metrics_set (f->metrics, MT_GAUGE_WORKERS, sum.workers);
   mt_metrics_set (f->metrics, MT_GAUGE_WORKERS_SILENT, sum.silent);
   mt_metrics_set (f->metrics, MT_GAUGE_STORE_CALLS, (int64_t) mt_adapter_store_calls (f->platform));
-  mt_metrics_set (f->metrics, MT_GAUGE_CONNECTIONS_OPENED, (int64_t) mt_calls_opened (f->calls));
+  mt_metrics_set (f->metrics, MT_GAUGE_CONNECTIONS_OPENED,
+                  (int64_t) mt_calls_connections_opened (f->calls));
 }
 
 static void
@@ -520,7 +521,7 @@
 static bool
 store_answers (void *ctx)
 {
-  return mt_adapter_store_answers (((struct mt_fleet *) ctx)->platform);
+  return mt_adapter_store_available (((struct mt_fleet *) ctx)->platform);
 }
 
 static int64_t
@@ -555,9 +556,9 @@
                    GError **error)
 {
   struct mt_http_front_options options = { .address = address,
-                                           .connections = f->settings->connections,
-                                           .idle_s = f->settings->idle_s,
-                                           .body_bytes = f->settings->body_bytes,
+                                           .max_connections = f->settings->connections,
+                                           .idle_timeout_s = f->settings->idle_s,
+                                           .max_body_bytes = f->settings->body_bytes,
                                            .kind = kind,
                                            .traffic = f->traffic,
                                            .handle = handle,
@@ -621,7 +622,7 @@
   f->uplink = mt_uplink_make (s->link_mbps, mt_loop_now ());
   f->calls = mt_calls_create (f->base, f->traffic);
   f->platform = mt_adapter_create (f->calls, &platform);
-  f->codec = mt_adapter_words ();
+  f->codec = mt_adapter_codec ();
   f->mesh = mt_mesh_create (f->base, f->traffic, peer, s->name.data, mt_peer_service_handle,
                             &f->peer_service, error);
   if (f->mesh == NULL)
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -363,7 +363,7 @@
   else if (local_pool != NULL || holder == NULL || mt_loop_now () < frontend->estimate_paused_until)
     enqueue_submit (s);
   else
-    mt_mesh_send (frontend->options.mesh, holder, MT_MESH_OUTLOOK, &args, ESTIMATE_TIMEOUT_MS,
+    mt_mesh_send (frontend->options.mesh, holder, MT_MESH_WAIT_ESTIMATE, &args, ESTIMATE_TIMEOUT_MS,
                   on_estimate, s);
 }
 
--- a/fleet/neighbours.c
+++ b/fleet/neighbours.c
@@ -120,7 +120,7 @@
           return;
         }
       break;
-    case MT_MESH_OUTLOOK:
+    case MT_MESH_WAIT_ESTIMATE:
       if (pool != NULL && args->n == 3)
         {
           reply_estimate (n, call, pool, args);
--- a/fleet/relay.c
+++ b/fleet/relay.c
@@ -28,7 +28,7 @@
 {
   struct mt_relay *relay;
   char *peer;
-  mt_adapter_raw_done done;
+  mt_adapter_call_done done;
   void *data;
 };
 
@@ -106,7 +106,7 @@
             const char *path,
             struct mt_str body,
             int64_t timeout_ms,
-            mt_adapter_raw_done done,
+            mt_adapter_call_done done,
             void *data)
 {
   struct mt_relay *relay = ctx;
@@ -162,7 +162,8 @@
     }
   method = g_strndup (args->at[0].data, args->at[0].len);
   path = g_strndup (args->at[1].data, args->at[1].len);
-  mt_adapter_raw (relay->platform, method, path, args->at[2], (int64_t) limit, on_served, call);
+  mt_adapter_call_store (relay->platform, method, path, args->at[2], (int64_t) limit, on_served,
+                         call);
 }
 
 struct mt_relay *
--- a/net/frame.c
+++ b/net/frame.c
@@ -23,9 +23,9 @@
   msgpack_pack_unsigned_int (&packer, type);
   mt_pack_str (&packer, sender);
   mt_pack_bin (&packer, body);
-  if (buffer.size <= MT_PEER_MAX_FRAME)
+  if (buffer.size <= MT_PEER_MAX_FRAME_BYTES)
     {
-      head = htonl ((uint32_t) (buffer.size - MT_FRAME_HEAD));
+      head = htonl ((uint32_t) (buffer.size - MT_FRAME_HEADER_BYTES));
       memcpy (buffer.data, &head, sizeof head);
       *len = buffer.size;
       bytes = g_memdup2 (buffer.data, buffer.size);
@@ -35,17 +35,17 @@
 }
 
 bool
-mt_frame_length (const char head[MT_FRAME_HEAD], size_t *len, GError **error)
+mt_frame_length (const char head[MT_FRAME_HEADER_BYTES], size_t *len, GError **error)
 {
   uint32_t value;
 
   memcpy (&value, head, sizeof value);
   *len = ntohl (value);
-  if (*len > 0 && *len <= MT_PEER_MAX_FRAME - MT_FRAME_HEAD)
+  if (*len > 0 && *len <= MT_PEER_MAX_FRAME_BYTES - MT_FRAME_HEADER_BYTES)
     return true;
   g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
                "frame of %zu bytes, the limit is %d; check that a daemon is at the other end", *len,
-               MT_PEER_MAX_FRAME);
+               MT_PEER_MAX_FRAME_BYTES);
   return false;
 }
 
@@ -66,7 +66,7 @@
     }
   if (fields != NULL && fields[0].type == MSGPACK_OBJECT_POSITIVE_INTEGER
       && mt_pack_get_u64 (&fields[1], MT_PEER_TYPES - 1, &type) && type > 0
-      && mt_pack_get_str (&fields[2], &out->sender) && out->sender.len <= MT_FRAME_MAX_SENDER
+      && mt_pack_get_str (&fields[2], &out->sender) && out->sender.len <= MT_FRAME_MAX_SENDER_BYTES
       && mt_pack_get_bin (&fields[3], &out->body))
     {
       out->type = (unsigned) type;
--- a/net/http_calls.c
+++ b/net/http_calls.c
@@ -175,7 +175,7 @@
   answer.status = evhttp_request_get_response_code (request);
   answer.body.len = evbuffer_get_length (input);
   answer.body.data = (const char *) evbuffer_pullup (input, -1);
-  mt_traffic_received (c->lane->calls->traffic, p->kind, ANSWER_HEAD_BYTES + answer.body.len);
+  mt_traffic_add_received (c->lane->calls->traffic, p->kind, ANSWER_HEAD_BYTES + answer.body.len);
   c->busy = NULL;
   c->up = true;
   finish (p, &answer);
@@ -241,7 +241,7 @@
     }
   c->busy = p;
   p->connection = c;
-  mt_traffic_sent (c->lane->calls->traffic, p->kind, call_bytes (p));
+  mt_traffic_add_sent (c->lane->calls->traffic, p->kind, call_bytes (p));
   /* On failure libevent frees the request without calling back; the timer then ends the call. */
   evhttp_make_request (c->evcon, request, methods[p->method], p->path);
 }
@@ -279,7 +279,7 @@
       lane->connections = g_ptr_array_new_with_free_func (NULL);
       g_hash_table_insert (calls->lanes, lane->key, lane);
     }
-  lane->most = MAX (call->connections, 1U);
+  lane->most = MAX (call->max_connections, 1U);
   return lane;
 }
 
@@ -321,7 +321,7 @@
 }
 
 void
-mt_calls_forget (struct mt_calls *calls, const char *address)
+mt_calls_close_idle (struct mt_calls *calls, const char *address)
 {
   GHashTableIter it;
   struct lane *lane;
@@ -338,7 +338,7 @@
 }
 
 uint64_t
-mt_calls_opened (const struct mt_calls *calls)
+mt_calls_connections_opened (const struct mt_calls *calls)
 {
   return calls->opened;
 }
--- a/net/http_calls.h
+++ b/net/http_calls.h
@@ -37,7 +37,7 @@
   /* Calls of one address and lane share connections, at most `connections` of them; further ones
    * wait in turn, within their timeout. */
   unsigned lane;
-  unsigned connections;
+  unsigned max_connections;
 };
 
 struct mt_call_answer
@@ -58,8 +58,8 @@
 void
 mt_calls_send (struct mt_calls *calls, const struct mt_call *call, mt_call_done done, void *ctx);
 /* Closes the idle connections to an address that is not needed any more. */
-void mt_calls_forget (struct mt_calls *calls, const char *address);
+void mt_calls_close_idle (struct mt_calls *calls, const char *address);
 /* Connections opened so far. */
-uint64_t mt_calls_opened (const struct mt_calls *calls);
+uint64_t mt_calls_connections_opened (const struct mt_calls *calls);
 
 #endif
--- a/net/http_check.c
+++ b/net/http_check.c
@@ -14,7 +14,7 @@
 }
 
 bool
-mt_http_is_value (struct mt_str s)
+mt_http_is_header_value (struct mt_str s)
 {
   for (size_t i = 0; i < s.len; i++)
     if (s.data[i] != '\t' && g_ascii_iscntrl (s.data[i]))
@@ -23,7 +23,7 @@
 }
 
 bool
-mt_http_is_target (struct mt_str s)
+mt_http_is_request_target (struct mt_str s)
 {
   for (size_t i = 0; i < s.len; i++)
     if (!g_ascii_isgraph (s.data[i]))
--- a/net/http_check.h
+++ b/net/http_check.h
@@ -8,8 +8,8 @@
 /* A method or header name. */
 bool mt_http_is_token (struct mt_str s);
 /* A header's value. */
-bool mt_http_is_value (struct mt_str s);
+bool mt_http_is_header_value (struct mt_str s);
 /* A path with its query. */
-bool mt_http_is_target (struct mt_str s);
+bool mt_http_is_request_target (struct mt_str s);
 
 #endif
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -151,11 +151,11 @@
   g_mutex_lock (&client->lock);
   peer = find_peer (client, address);
   drop_idle (client, peer, 0, dropped);
-  if (!call->fresh)
+  if (!call->new_connection)
     idle = pop_fitting (peer, seconds);
   if (idle == NULL)
     {
-      drop_idle (client, peer, call->connections, dropped);
+      drop_idle (client, peer, call->max_connections, dropped);
       peer->open++;
     }
   g_mutex_unlock (&client->lock);
@@ -174,7 +174,8 @@
 
   g_queue_clear_full (&dropped, free_idle);
   if (idle == NULL)
-    return (struct connection){ open_session (address, seconds, call->fresh), seconds, false };
+    return (struct connection){ open_session (address, seconds, call->new_connection), seconds,
+                                false };
   connection.session = idle->session;
   connection.seconds = idle->seconds;
   g_free (idle);
@@ -188,7 +189,7 @@
                  struct connection connection,
                  bool keep)
 {
-  unsigned limit = call->connections > 0 ? call->connections : MAX_IDLE;
+  unsigned limit = call->max_connections > 0 ? call->max_connections : MAX_IDLE;
   struct idle *idle = NULL;
   struct peer *peer;
 
@@ -238,7 +239,7 @@
       if (is_hop_by_hop (name))
         continue;
       if (answer->n_headers == MAX_HEADERS || !mt_http_is_token (mt_str_from (name))
-          || !mt_http_is_value (mt_str_from (value)))
+          || !mt_http_is_header_value (mt_str_from (value)))
         return false;
       header->name = mt_arena_dup (arena, mt_str_from (name));
       header->value = mt_arena_dup (arena, mt_str_from (value));
@@ -272,11 +273,11 @@
 
   while ((n = ne_read_response_block (request, chunk, sizeof chunk)) > 0)
     {
-      if (body->len + (size_t) n > call->max_answer)
+      if (body->len + (size_t) n > call->max_answer_bytes)
         {
           g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
                        "answer is longer than %zu bytes; raise limits.answer_bytes",
-                       call->max_answer);
+                       call->max_answer_bytes);
           return false;
         }
       if (mt_clock_now (client->clock) > call->deadline_us + LATE_US)
@@ -319,7 +320,7 @@
       return false;
     }
   if (strcmp (call->method, "HEAD") == 0)
-    answer->head_bytes = read_length (request);
+    answer->content_length = read_length (request);
   if (!read_body (client, request, call, body, error))
     return false;
   answer->body = mt_arena_dup (arena, (struct mt_str){ body->str, body->len });
@@ -352,7 +353,7 @@
   rc = ne_begin_request (request);
   ne_set_notifier (session, NULL, NULL);
   if (rc == NE_OK)
-    return MT_HTTP_WHOLE;
+    return MT_HTTP_COMPLETE;
   if (!connected && !connection.used)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE, "%s; check that the address listens",
@@ -374,7 +375,7 @@
 {
   enum mt_http_outcome outcome = begin (connection, request, error);
 
-  if (outcome != MT_HTTP_WHOLE)
+  if (outcome != MT_HTTP_COMPLETE)
     return outcome;
   if (!read_answer (client, request, call, arena, answer, error))
     return MT_HTTP_UNKNOWN;
@@ -383,7 +384,7 @@
       g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "%s", ne_get_error (connection.session));
       return MT_HTTP_UNKNOWN;
     }
-  return MT_HTTP_WHOLE;
+  return MT_HTTP_COMPLETE;
 }
 
 static struct mt_str
@@ -398,7 +399,7 @@
   struct mt_str id = echoed_id (answer);
 
   if (call->id.len == 0 || id.data == NULL || mt_str_equal (id, call->id))
-    return MT_HTTP_WHOLE;
+    return MT_HTTP_COMPLETE;
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
                "the answer is another request's; see the minion's log");
   return MT_HTTP_UNKNOWN;
@@ -412,7 +413,7 @@
           const struct mt_http_answer *answer,
           enum mt_http_outcome outcome)
 {
-  return outcome == MT_HTTP_WHOLE && !call->fresh
+  return outcome == MT_HTTP_COMPLETE && !call->new_connection
          && (call->id.len == 0 || echoed_id (answer).data != NULL);
 }
 
@@ -458,7 +459,7 @@
   if (call->body.len > 0)
     ne_set_request_body_buffer (request, call->body.data, call->body.len);
   outcome = exchange (client, connection, request, call, arena, answer, error);
-  if (outcome == MT_HTTP_WHOLE)
+  if (outcome == MT_HTTP_COMPLETE)
     outcome = check_id (call, answer, error);
   ne_request_destroy (request);
   give_connection (client, address, call, connection, may_keep (call, answer, outcome));
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -21,11 +21,11 @@
   const struct mt_http_header *headers; /* data NUL-terminated */
   size_t n_headers;
   struct mt_str body;
-  bool fresh;           /* on a connection that has carried nothing before, and closed after */
-  struct mt_str id;     /* that the answer must echo as Medlartrack-Request-Id; empty: none */
-  int64_t deadline_us;  /* on the client's clock */
-  size_t max_answer;    /* most body bytes taken */
-  unsigned connections; /* most to this address, idle ones included; 0: no limit */
+  bool new_connection;      /* on a connection that has carried nothing before, and closed after */
+  struct mt_str id;         /* that the answer must echo as Medlartrack-Request-Id; empty: none */
+  int64_t deadline_us;      /* on the client's clock */
+  size_t max_answer_bytes;  /* most body bytes taken */
+  unsigned max_connections; /* most to this address, idle ones included; 0: no limit */
 };
 
 struct mt_http_answer
@@ -34,12 +34,12 @@
   struct mt_http_header *headers; /* end-to-end headers only */
   size_t n_headers;
   struct mt_str body;
-  uint64_t head_bytes; /* of an answer to HEAD: the length that it announces */
+  uint64_t content_length; /* of an answer to HEAD: the length that it announces */
 };
 
 enum mt_http_outcome
 {
-  MT_HTTP_WHOLE,    /* the answer came in full */
+  MT_HTTP_COMPLETE, /* the answer came in full */
   MT_HTTP_NOT_SENT, /* no byte of the request left: the far side can't have run it */
   MT_HTTP_UNKNOWN,  /* something was sent and no whole answer came */
 };
--- a/net/http_connections.c
+++ b/net/http_connections.c
@@ -164,7 +164,7 @@
 }
 
 void
-mt_http_connections_wait (struct mt_http_connections *connections)
+mt_http_connections_wait_idle (struct mt_http_connections *connections)
 {
   g_mutex_lock (&connections->lock);
   while (connections->in_flight > 0)
--- a/net/http_connections.h
+++ b/net/http_connections.h
@@ -33,6 +33,6 @@
 /* From now on idle connections are ended; those in flight end after their answer. */
 void mt_http_connections_end_idle (struct mt_http_connections *connections);
 /* Until no connection is in flight. */
-void mt_http_connections_wait (struct mt_http_connections *connections);
+void mt_http_connections_wait_idle (struct mt_http_connections *connections);
 
 #endif
--- a/net/http_exchange.c
+++ b/net/http_exchange.c
@@ -41,7 +41,7 @@
   struct mt_arena *arena; /* holds the copied call and the answer */
   const char *address;
   struct mt_http_call call;
-  struct mt_http_ended ended;
+  struct mt_http_completion ended;
   int state; /* enum job_state, atomic; whoever leaves JOB_RUNNING first decides */
   sem_t finished;
   enum mt_http_outcome outcome;
@@ -94,7 +94,7 @@
 make_job (struct mt_http_exchanges *exchanges,
           const char *address,
           const struct mt_http_call *call,
-          struct mt_http_ended ended)
+          struct mt_http_completion ended)
 {
   struct job *job = g_new0 (struct job, 1);
 
@@ -271,7 +271,7 @@
 {
   enum mt_http_outcome outcome = job->outcome;
 
-  if (outcome != MT_HTTP_WHOLE)
+  if (outcome != MT_HTTP_COMPLETE)
     g_propagate_error (error, g_steal_pointer (&job->error));
   else if (mt_arena_adopt (arena, job->arena))
     {
@@ -329,7 +329,7 @@
 mt_http_exchanges_call (struct mt_http_exchanges *exchanges,
                         const char *address,
                         const struct mt_http_call *call,
-                        struct mt_http_ended ended,
+                        struct mt_http_completion ended,
                         struct mt_arena *arena,
                         struct mt_http_answer *answer,
                         GError **error)
--- a/net/http_exchange.h
+++ b/net/http_exchange.h
@@ -10,7 +10,7 @@
 
 /* Called once for each call, in the exchange's thread, when it has really ended: in time, just
  * before the caller gets its answer; otherwise later than that. */
-struct mt_http_ended
+struct mt_http_completion
 {
   void (*call) (void *ctx, enum mt_http_outcome outcome, const struct mt_http_answer *answer);
   void *ctx;
@@ -28,7 +28,7 @@
 enum mt_http_outcome mt_http_exchanges_call (struct mt_http_exchanges *exchanges,
                                              const char *address,
                                              const struct mt_http_call *call,
-                                             struct mt_http_ended ended,
+                                             struct mt_http_completion ended,
                                              struct mt_arena *arena,
                                              struct mt_http_answer *answer,
                                              GError **error);
--- a/net/http_front.c
+++ b/net/http_front.c
@@ -87,7 +87,7 @@
 }
 
 int64_t
-mt_exchange_began (const struct mt_exchange *exchange)
+mt_exchange_started_ms (const struct mt_exchange *exchange)
 {
   return exchange->began;
 }
@@ -146,7 +146,8 @@
 {
   char retry[RETRY_HEADER_CHARS];
 
-  mt_traffic_sent (exchange->front->traffic, exchange->front->kind, ANSWER_HEAD_BYTES + body.len);
+  mt_traffic_add_sent (exchange->front->traffic, exchange->front->kind,
+                       ANSWER_HEAD_BYTES + body.len);
   exchange->status = status;
   exchange->response
       = MHD_create_response_from_buffer (body.len, (void *) body.data, MHD_RESPMEM_MUST_COPY);
@@ -224,7 +225,8 @@
   if (!exchange->handed)
     {
       exchange->handed = true;
-      mt_traffic_received (front->traffic, front->kind, REQUEST_HEAD_BYTES + exchange->body->len);
+      mt_traffic_add_received (front->traffic, front->kind,
+                               REQUEST_HEAD_BYTES + exchange->body->len);
       front->handle (front->ctx, exchange);
       if (exchange->response == NULL)
         {
@@ -266,15 +268,15 @@
   front->base = base;
   front->handle = options->handle;
   front->ctx = options->ctx;
-  front->body_bytes = options->body_bytes;
+  front->body_bytes = options->max_body_bytes;
   front->kind = options->kind;
   front->traffic = options->traffic;
   if (mt_address_parse (options->address, &address, error))
     front->daemon = MHD_start_daemon (
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, front,
         MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_completed, front,
-        MHD_OPTION_CONNECTION_LIMIT, options->connections, MHD_OPTION_CONNECTION_TIMEOUT,
-        options->idle_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY,
+        MHD_OPTION_CONNECTION_LIMIT, options->max_connections, MHD_OPTION_CONNECTION_TIMEOUT,
+        options->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY,
         MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
   if (front->daemon == NULL)
     {
@@ -306,7 +308,7 @@
 }
 
 unsigned
-mt_http_front_busy (const struct mt_http_front *front)
+mt_http_front_in_flight (const struct mt_http_front *front)
 {
   return front->busy;
 }
--- a/net/http_front.h
+++ b/net/http_front.h
@@ -24,7 +24,7 @@
 /* Of the query; NULL where it has none of that name. */
 const char *mt_exchange_query (const struct mt_exchange *exchange, const char *name);
 struct mt_str mt_exchange_body (const struct mt_exchange *exchange);
-int64_t mt_exchange_began (const struct mt_exchange *exchange);
+int64_t mt_exchange_started_ms (const struct mt_exchange *exchange);
 
 /* body is copied. retry_after_s: 0 for none. Ends the exchange. */
 void mt_exchange_answer (struct mt_exchange *exchange,
@@ -38,9 +38,9 @@
 struct mt_http_front_options
 {
   const char *address; /* IP:PORT; port 0 takes a free one */
-  unsigned connections;
-  unsigned idle_s;
-  size_t body_bytes;          /* longest request body; beyond it 413 */
+  unsigned max_connections;
+  unsigned idle_timeout_s;
+  size_t max_body_bytes;      /* longest request body; beyond it 413 */
   const char *kind;           /* a constant: what its requests count as in the traffic */
   struct mt_traffic *traffic; /* NULL for none */
   mt_http_front_handler handle;
@@ -54,7 +54,7 @@
 /* Every answer from now on says "Connection: close". */
 void mt_http_front_close_after_answers (struct mt_http_front *front);
 /* Exchanges not answered yet, and answered ones not fully sent. */
-unsigned mt_http_front_busy (const struct mt_http_front *front);
+unsigned mt_http_front_in_flight (const struct mt_http_front *front);
 /* What is not answered yet is answered with 503. */
 void mt_http_front_destroy (struct mt_http_front *front);
 
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -76,8 +76,8 @@
   sink->overflow = header->name.data == NULL || header->value.data == NULL;
   if (sink->overflow)
     return MHD_NO;
-  sink->malformed
-      = sink->malformed || !mt_http_is_token (header->name) || !mt_http_is_value (header->value);
+  sink->malformed = sink->malformed || !mt_http_is_token (header->name)
+                    || !mt_http_is_header_value (header->value);
   sink->lengths += mt_str_equal_nocase (header->name, MT_STR ("Content-Length")) ? 1 : 0;
   sink->codings += mt_str_equal_nocase (header->name, MT_STR ("Transfer-Encoding")) ? 1 : 0;
   return MHD_YES;
@@ -90,7 +90,7 @@
   struct mt_http_server *server = ctx;
   struct incoming *in = g_new0 (struct incoming, 1);
 
-  in->request.arena = mt_arena_create (server->options.request_memory);
+  in->request.arena = mt_arena_create (server->options.max_request_memory_bytes);
   in->request.path = mt_arena_dup (in->request.arena, mt_str_from (uri));
   in->caller
       = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT)->socket_context;
@@ -138,8 +138,8 @@
 static struct MHD_Response *
 make_response (const struct mt_http_answer *answer)
 {
-  if (answer->head_bytes > 0)
-    return MHD_create_response_from_callback (answer->head_bytes, 1, read_nothing, NULL, NULL);
+  if (answer->content_length > 0)
+    return MHD_create_response_from_callback (answer->content_length, 1, read_nothing, NULL, NULL);
   return MHD_create_response_from_buffer (answer->body.len, (void *) answer->body.data,
                                           MHD_RESPMEM_MUST_COPY);
 }
@@ -156,7 +156,8 @@
     return MHD_NO;
   response = make_response (answer);
   for (size_t i = 0; i < answer->n_headers; i++)
-    if (mt_http_is_token (answer->headers[i].name) && mt_http_is_value (answer->headers[i].value))
+    if (mt_http_is_token (answer->headers[i].name)
+        && mt_http_is_header_value (answer->headers[i].value))
       MHD_add_response_header (response, answer->headers[i].name.data,
                                answer->headers[i].value.data);
   if (g_atomic_int_get (&server->stopping))
@@ -209,12 +210,13 @@
   if (sink->overflow || request->path.data == NULL)
     return "too many headers; send 64 at most";
   *status = 400;
-  if (sink->malformed || !mt_http_is_token (request->method) || !mt_http_is_target (request->path))
+  if (sink->malformed || !mt_http_is_token (request->method)
+      || !mt_http_is_request_target (request->path))
     return "malformed request line or header";
   if (is_framed_twice (sink) || (length.data != NULL && !mt_str_to_u64 (length, &bytes)))
     return "the length of the body is not clear; send one Content-Length or chunks";
   *status = 413;
-  if (bytes > server->options.body_bytes)
+  if (bytes > server->options.max_body_bytes)
     return "body too long; see limits.body_bytes";
   return NULL;
 }
@@ -262,7 +264,7 @@
     return begin_headers (server, connection, in, method);
   if (*upload_size > 0)
     {
-      if (in->body->len + *upload_size > server->options.body_bytes)
+      if (in->body->len + *upload_size > server->options.max_body_bytes)
         in->too_long = true;
       else
         g_string_append_len (in->body, upload, (gssize) *upload_size);
@@ -281,7 +283,7 @@
 }
 
 bool
-mt_http_request_is_gone (const struct mt_http_request *request)
+mt_http_request_is_aborted (const struct mt_http_request *request)
 {
   struct pollfd fd = { .fd = request->fd };
 
@@ -324,11 +326,11 @@
   server = g_new0 (struct mt_http_server, 1);
   server->options = *options;
   server->connections
-      = mt_http_connections_create (options->clock, 2 * options->idle_s * MT_SECOND);
+      = mt_http_connections_create (options->clock, 2 * options->idle_timeout_s * MT_SECOND);
   server->mhd = MHD_start_daemon (
       MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL | MHD_USE_ITC,
       0, NULL, NULL, on_request, server, MHD_OPTION_SOCK_ADDR, &addr, MHD_OPTION_CONNECTION_LIMIT,
-      options->connections, MHD_OPTION_CONNECTION_TIMEOUT, options->idle_s,
+      options->max_connections, MHD_OPTION_CONNECTION_TIMEOUT, options->idle_timeout_s,
       MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY, MHD_OPTION_THREAD_STACK_SIZE,
       (size_t) THREAD_STACK, MHD_OPTION_LISTEN_BACKLOG_SIZE, 512U, MHD_OPTION_URI_LOG_CALLBACK,
       begin_request, server, MHD_OPTION_NOTIFY_COMPLETED, end_request, server,
@@ -384,7 +386,7 @@
       close (fd);
     }
   mt_http_connections_end_idle (server->connections);
-  mt_http_connections_wait (server->connections);
+  mt_http_connections_wait_idle (server->connections);
 }
 
 void
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -22,16 +22,16 @@
 
 /* The caller has closed or reset its connection. One that only shut its sending side, as a caller
  * may that has said all, is not gone. */
-bool mt_http_request_is_gone (const struct mt_http_request *request);
+bool mt_http_request_is_aborted (const struct mt_http_request *request);
 
 struct mt_http_server_options
 {
-  const char *address;  /* IP:PORT; port 0 takes a free one */
-  unsigned connections; /* most open at a time */
-  unsigned idle_s;   /* a connection silent for so long is closed; one that takes twice as long to
-                        send a request or to read an answer is cut */
-  size_t body_bytes; /* longest request body; beyond it 413 */
-  size_t request_memory; /* arena limit of one request */
+  const char *address;      /* IP:PORT; port 0 takes a free one */
+  unsigned max_connections; /* most open at a time */
+  unsigned idle_timeout_s;  /* a connection silent for so long is closed; one that takes twice as
+                       long to  send a request or to read an answer is cut */
+  size_t max_body_bytes;    /* longest request body; beyond it 413 */
+  size_t max_request_memory_bytes; /* arena limit of one request */
   const struct mt_clock *clock;
   void (*handle) (void *ctx, struct mt_http_request *request);
   void *ctx;
--- a/net/mesh.c
+++ b/net/mesh.c
@@ -65,10 +65,10 @@
 mt_mesh_method_name (enum mt_mesh_method method)
 {
   static const char *const names[] = {
-    [MT_MESH_SUBMITTED] = "submitted", [MT_MESH_CANCELLED] = "cancelled",
-    [MT_MESH_STATE] = "state",         [MT_MESH_PENDING] = "pending",
-    [MT_MESH_STORE] = "passed on",     [MT_MESH_CORDON] = "report",
-    [MT_MESH_OUTLOOK] = "outlook",
+    [MT_MESH_SUBMITTED] = "submitted",   [MT_MESH_CANCELLED] = "cancelled",
+    [MT_MESH_STATE] = "state",           [MT_MESH_PENDING] = "pending",
+    [MT_MESH_STORE] = "passed on",       [MT_MESH_CORDON] = "report",
+    [MT_MESH_WAIT_ESTIMATE] = "outlook",
   };
 
   return method > 0 && method < G_N_ELEMENTS (names) ? names[method] : "other";
@@ -192,7 +192,7 @@
 
   if (w == NULL)
     return;
-  mt_traffic_received (mesh->traffic, mt_mesh_method_name (w->method), bytes);
+  mt_traffic_add_received (mesh->traffic, mt_mesh_method_name (w->method), bytes);
   answer_waiting (w, args);
 }
 
@@ -210,8 +210,8 @@
   ok = decode (&unpacked.data, &id, &method, &args);
   if (ok && frame.type == MT_PEER_MESH_CALL)
     {
-      mt_traffic_received (link->mesh->traffic, mt_mesh_method_name ((enum mt_mesh_method) method),
-                           payload.len);
+      mt_traffic_add_received (link->mesh->traffic,
+                               mt_mesh_method_name ((enum mt_mesh_method) method), payload.len);
       take_call (link, id, method, &args);
     }
   else if (ok && frame.type == MT_PEER_MESH_REPLY)
@@ -227,10 +227,10 @@
 {
   struct link *link = ctx;
   struct evbuffer *input = bufferevent_get_input (bev);
-  char head[MT_FRAME_HEAD];
+  char head[MT_FRAME_HEADER_BYTES];
 
   g_rc_box_acquire (link);
-  while (!link->closed && evbuffer_get_length (input) >= MT_FRAME_HEAD)
+  while (!link->closed && evbuffer_get_length (input) >= MT_FRAME_HEADER_BYTES)
     {
       size_t len = 0;
       g_autofree char *payload = NULL;
@@ -241,9 +241,9 @@
           close_link (link);
           break;
         }
-      if (evbuffer_get_length (input) < MT_FRAME_HEAD + len)
+      if (evbuffer_get_length (input) < MT_FRAME_HEADER_BYTES + len)
         break;
-      evbuffer_drain (input, MT_FRAME_HEAD);
+      evbuffer_drain (input, MT_FRAME_HEADER_BYTES);
       payload = g_malloc (len);
       evbuffer_remove (input, payload, len);
       if (!take_frame (link, (struct mt_str){ payload, len }))
@@ -353,7 +353,7 @@
     limit = (struct timeval){ 0 };
   else
     {
-      mt_traffic_sent (mesh->traffic, mt_mesh_method_name (method), len);
+      mt_traffic_add_sent (mesh->traffic, mt_mesh_method_name (method), len);
       bufferevent_write (link->bev, frame, len);
     }
   event_add (w->timer, &limit);
@@ -371,7 +371,7 @@
 
       if (frame != NULL)
         {
-          mt_traffic_sent (link->mesh->traffic, mt_mesh_method_name (call->method), len);
+          mt_traffic_add_sent (link->mesh->traffic, mt_mesh_method_name (call->method), len);
           bufferevent_write (link->bev, frame, len);
         }
     }
@@ -395,7 +395,7 @@
 
   mesh->base = base;
   mesh->traffic = traffic;
-  mesh->name = g_strndup (name, MT_FRAME_MAX_SENDER);
+  mesh->name = g_strndup (name, MT_FRAME_MAX_SENDER_BYTES);
   mesh->handler = handler;
   mesh->ctx = ctx;
   mesh->links = g_hash_table_new (g_str_hash, g_str_equal);
--- a/net/mesh.h
+++ b/net/mesh.h
@@ -24,9 +24,10 @@
   MT_MESH_STATE = 3,     /* [pool, job id, who asks] -> [state's name] */
   MT_MESH_PENDING = 4,   /* [pool, route] -> [number] */
   MT_MESH_STORE = 5,     /* [method, path, body] -> [status, body]: a store call for a neighbour */
-  MT_MESH_CORDON = 6,  /* [pool, workers to empty, ended ones, due ones, room, shares of quotas] ->
-                        * [the pool's load, workers and accounts] */
-  MT_MESH_OUTLOOK = 7, /* [pool, route, chain in ms] -> [ms after which to come back; 0: now] */
+  MT_MESH_CORDON = 6, /* [pool, workers to empty, ended ones, due ones, room, shares of quotas] ->
+                       * [the pool's load, workers and accounts] */
+  MT_MESH_WAIT_ESTIMATE
+  = 7, /* [pool, route, chain in ms] -> [ms after which to come back; 0: now] */
 };
 
 struct mt_mesh_args
--- a/net/peer.h
+++ b/net/peer.h
@@ -1,6 +1,6 @@
 /* Frames over TCP between daemons, and from medlartrackctl to a daemon: a 4-byte big-endian length,
- * then a msgpack array [protocol, type, sender, body]. Frames longer than MT_PEER_MAX_FRAME, of
- * another protocol version or malformed close the connection. */
+ * then a msgpack array [protocol, type, sender, body]. Frames longer than MT_PEER_MAX_FRAME_BYTES,
+ * of another protocol version or malformed close the connection. */
 #ifndef MT_PEER_H
 #define MT_PEER_H
 
@@ -9,8 +9,8 @@
 
 #include <glib.h>
 
-#define MT_PEER_PROTOCOL  1
-#define MT_PEER_MAX_FRAME (2 * 1024 * 1024)
+#define MT_PEER_PROTOCOL        1
+#define MT_PEER_MAX_FRAME_BYTES (2 * 1024 * 1024)
 
 /* What a frame is about. Numbers are part of the protocol: never reused. */
 enum mt_peer_type
@@ -38,10 +38,10 @@
 struct mt_peer_server *
 mt_peer_server_create (const char *address, const char *name, GError **error);
 /* Before mt_peer_server_start. */
-void mt_peer_server_handle (struct mt_peer_server *server,
-                            enum mt_peer_type type,
-                            mt_peer_handler handler,
-                            void *ctx);
+void mt_peer_server_set_handler (struct mt_peer_server *server,
+                                 enum mt_peer_type type,
+                                 mt_peer_handler handler,
+                                 void *ctx);
 void mt_peer_server_start (struct mt_peer_server *server);
 unsigned mt_peer_server_port (const struct mt_peer_server *server);
 void mt_peer_server_destroy (struct mt_peer_server *server);
--- a/net/peer_client.c
+++ b/net/peer_client.c
@@ -251,7 +251,7 @@
   g_autofree char *payload = NULL;
   struct mt_frame frame;
   GError *cause = NULL;
-  char head[MT_FRAME_HEAD];
+  char head[MT_FRAME_HEADER_BYTES];
   size_t len;
 
   if (!receive_exactly (call, head, sizeof head, error))
@@ -268,7 +268,7 @@
   memcpy (*reply, frame.body.data, frame.body.len);
   (*reply)[frame.body.len] = '\0';
   *reply_len = frame.body.len;
-  call->received = MT_FRAME_HEAD + len;
+  call->received = MT_FRAME_HEADER_BYTES + len;
   return true;
 }
 
@@ -321,7 +321,7 @@
     {
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
                    "a call of %zu bytes passes the frame limit of %d; send less", body.len,
-                   MT_PEER_MAX_FRAME);
+                   MT_PEER_MAX_FRAME_BYTES);
       return false;
     }
   call.fd = take_kept (client, address);
--- a/net/peer_server.c
+++ b/net/peer_server.c
@@ -96,8 +96,8 @@
 static bool
 answer (struct mt_peer_server *server, struct connection *connection)
 {
-  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEAD,
-                            connection->in->len - MT_FRAME_HEAD };
+  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEADER_BYTES,
+                            connection->in->len - MT_FRAME_HEADER_BYTES };
   struct mt_frame frame;
   const struct handler *handler;
   char *reply;
@@ -226,13 +226,13 @@
     connection->since_us = mt_clock_now (server->clock);
   g_byte_array_append (connection->in, chunk, (guint) n);
   server->pending_bytes += (size_t) n;
-  if (connection->in->len < MT_FRAME_HEAD)
+  if (connection->in->len < MT_FRAME_HEADER_BYTES)
     return true;
   if (!mt_frame_length ((const char *) connection->in->data, &len, NULL))
     return false;
-  *whole = connection->in->len == MT_FRAME_HEAD + len;
+  *whole = connection->in->len == MT_FRAME_HEADER_BYTES + len;
   /* Nobody sends a second frame before the reply to the first. */
-  return connection->in->len <= MT_FRAME_HEAD + len;
+  return connection->in->len <= MT_FRAME_HEADER_BYTES + len;
 }
 
 static void
@@ -240,8 +240,8 @@
 {
   struct connection *connection = g_ptr_array_remove_index_fast (server->reading, i);
   struct mt_frame frame;
-  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEAD,
-                            connection->in->len - MT_FRAME_HEAD };
+  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEADER_BYTES,
+                            connection->in->len - MT_FRAME_HEADER_BYTES };
 
   server->pending_bytes -= connection->in->len;
   if (!mt_frame_decode (payload, &frame, NULL))
@@ -356,10 +356,10 @@
 }
 
 void
-mt_peer_server_handle (struct mt_peer_server *server,
-                       enum mt_peer_type type,
-                       mt_peer_handler handler,
-                       void *ctx)
+mt_peer_server_set_handler (struct mt_peer_server *server,
+                            enum mt_peer_type type,
+                            mt_peer_handler handler,
+                            void *ctx)
 {
   g_assert (server->thread == NULL);
   server->handlers[type] = (struct handler){ handler, ctx };
--- a/net/platform.c
+++ b/net/platform.c
@@ -41,9 +41,9 @@
     .path = path,
     .body = body,
     /* A write must not be repeated by neon: its second try would lose against its first. */
-    .fresh = strcmp (method, "GET") != 0,
+    .new_connection = strcmp (method, "GET") != 0,
     .deadline_us = mt_clock_now (platform->clock) + budget_us,
-    .max_answer = strstr (path, RECURSE) != NULL ? LIST_BYTES : VALUE_BYTES,
+    .max_answer_bytes = strstr (path, RECURSE) != NULL ? LIST_BYTES : VALUE_BYTES,
   };
 
   __atomic_add_fetch (&platform->calls, 1, __ATOMIC_RELAXED);
@@ -116,7 +116,8 @@
   bool ok = false;
 
   *out = (struct mt_store_value){ 0 };
-  if (call (platform, "GET", path, MT_STR (""), budget_us, arena, &answer, error) != MT_HTTP_WHOLE)
+  if (call (platform, "GET", path, MT_STR (""), budget_us, arena, &answer, error)
+      != MT_HTTP_COMPLETE)
     goto done;
   if (answer.status == 404)
     {
@@ -203,7 +204,7 @@
   bool ok = false;
 
   if (call (platform, "GET", path, MT_STR (""), wait_us + WATCH_SLACK_US, arena, &answer, error)
-      == MT_HTTP_WHOLE)
+      == MT_HTTP_COMPLETE)
     {
       if (answer.status == 200 || answer.status == 404)
         index = mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("X-Consul-Index"));
@@ -259,7 +260,7 @@
 
   *out = g_ptr_array_new_with_free_func (mt_store_value_free);
   if (call (platform, "GET", path, MT_STR (""), platform->call_us, arena, &answer, error)
-      != MT_HTTP_WHOLE)
+      != MT_HTTP_COMPLETE)
     goto done;
   ok = answer.status == 404;
   if (ok)
@@ -312,7 +313,7 @@
       break;
     case MT_HTTP_UNKNOWN:
       break;
-    case MT_HTTP_WHOLE:
+    case MT_HTTP_COMPLETE:
       result = sort_write (&answer, error);
       break;
     }
@@ -348,7 +349,7 @@
 
   if (call (platform, "PUT", "/v1/session/create", mt_str_from (body), platform->call_us, arena,
             &answer, error)
-      == MT_HTTP_WHOLE)
+      == MT_HTTP_COMPLETE)
     {
       root = json_loadb (answer.body.data, answer.body.len, 0, NULL);
       *id = g_strdup (json_string_value (json_object_get (root, "ID")));
@@ -371,7 +372,7 @@
   bool ok = false;
 
   if (call (platform, "PUT", path, MT_STR (""), platform->call_us, arena, &answer, error)
-      == MT_HTTP_WHOLE)
+      == MT_HTTP_COMPLETE)
     {
       ok = answer.status == 200;
       if (!ok)
--- a/net/traffic.c
+++ b/net/traffic.c
@@ -43,7 +43,7 @@
 }
 
 void
-mt_traffic_sent (struct mt_traffic *traffic, const char *kind, size_t bytes)
+mt_traffic_add_sent (struct mt_traffic *traffic, const char *kind, size_t bytes)
 {
   struct mt_traffic_row *row;
 
@@ -55,7 +55,7 @@
 }
 
 void
-mt_traffic_received (struct mt_traffic *traffic, const char *kind, size_t bytes)
+mt_traffic_add_received (struct mt_traffic *traffic, const char *kind, size_t bytes)
 {
   struct mt_traffic_row *row;
 
--- a/net/traffic.h
+++ b/net/traffic.h
@@ -21,8 +21,8 @@
 void mt_traffic_destroy (struct mt_traffic *traffic);
 
 /* kind: a constant, kept by address. NULL for traffic or kind counts nothing. */
-void mt_traffic_sent (struct mt_traffic *traffic, const char *kind, size_t bytes);
-void mt_traffic_received (struct mt_traffic *traffic, const char *kind, size_t bytes);
+void mt_traffic_add_sent (struct mt_traffic *traffic, const char *kind, size_t bytes);
+void mt_traffic_add_received (struct mt_traffic *traffic, const char *kind, size_t bytes);
 /* Sum of all kinds. */
 struct mt_traffic_row mt_traffic_total (const struct mt_traffic *traffic);
 /* Rows in the order in which their kinds came up; valid until the next message. */
--- a/net/workers.c
+++ b/net/workers.c
@@ -61,7 +61,7 @@
 static void
 clear_worker (gpointer data)
 {
-  struct mt_worker_news *worker = data;
+  struct mt_worker_update *worker = data;
 
   g_free (worker->name);
   g_free (worker->rack);
@@ -70,24 +70,24 @@
 static void
 clear_task (gpointer data)
 {
-  struct mt_task_news *task = data;
+  struct mt_task_update *task = data;
 
   g_free (task->job);
   g_free (task->worker);
 }
 
 static void
-start_news (struct mt_workers_news *news)
+start_news (struct mt_workers_updates *news)
 {
   news->index = 0;
-  news->workers = g_array_new (FALSE, TRUE, sizeof (struct mt_worker_news));
-  news->tasks = g_array_new (FALSE, TRUE, sizeof (struct mt_task_news));
+  news->workers = g_array_new (FALSE, TRUE, sizeof (struct mt_worker_update));
+  news->tasks = g_array_new (FALSE, TRUE, sizeof (struct mt_task_update));
   g_array_set_clear_func (news->workers, clear_worker);
   g_array_set_clear_func (news->tasks, clear_task);
 }
 
 void
-mt_workers_news_clear (struct mt_workers_news *news)
+mt_workers_updates_clear (struct mt_workers_updates *news)
 {
   g_clear_pointer (&news->workers, g_array_unref);
   g_clear_pointer (&news->tasks, g_array_unref);
@@ -105,16 +105,16 @@
     .method = method,
     .path = path,
     .body = body,
-    .fresh = strcmp (method, "GET") != 0,
+    .new_connection = strcmp (method, "GET") != 0,
     .deadline_us = mt_clock_now (workers->clock) + budget_us,
-    .max_answer = ANSWER_BYTES,
+    .max_answer_bytes = ANSWER_BYTES,
   };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer;
   json_t *root = NULL;
 
   if (mt_http_client_call (workers->client, workers->address, &request, arena, &answer, error)
-      == MT_HTTP_WHOLE)
+      == MT_HTTP_COMPLETE)
     {
       if (answer.status == 200)
         root = json_loadb (answer.body.data, answer.body.len, 0, NULL);
@@ -154,10 +154,10 @@
 static bool
 read_worker (const json_t *object, GArray *out)
 {
-  struct mt_worker_news worker = {
+  struct mt_worker_update worker = {
     .name = read_name (object, "name"),
     .rack = read_name (object, "rack"),
-    .size = read_size (object),
+    .resources = read_size (object),
     .lease = (uint64_t) json_integer_value (json_object_get (object, "lease")),
     .alive = json_is_true (json_object_get (object, "alive")),
   };
@@ -170,7 +170,7 @@
 read_task (const json_t *object, GArray *out)
 {
   const char *kind = json_string_value (json_object_get (object, "report"));
-  struct mt_task_news task = {
+  struct mt_task_update task = {
     .job = read_name (object, "job"),
     .worker = read_name (object, "worker"),
     .epoch = (uint64_t) json_integer_value (json_object_get (object, "epoch")),
@@ -187,7 +187,7 @@
 }
 
 static bool
-read_news (const json_t *root, struct mt_workers_news *news)
+read_news (const json_t *root, struct mt_workers_updates *news)
 {
   const json_t *workers = json_object_get (root, "workers");
   const json_t *tasks = json_object_get (root, "reports");
@@ -209,7 +209,7 @@
 mt_workers_poll (struct mt_workers *workers,
                  uint64_t index,
                  int64_t wait_us,
-                 struct mt_workers_news *news,
+                 struct mt_workers_updates *news,
                  GError **error)
 {
   g_autofree char *path
@@ -240,7 +240,7 @@
 }
 
 bool
-mt_workers_act (struct mt_workers *workers, const GArray *actions, GError **error)
+mt_workers_send_actions (struct mt_workers *workers, const GArray *actions, GError **error)
 {
   json_t *list = json_array ();
   json_t *request;
--- a/net/workers.h
+++ b/net/workers.h
@@ -1,23 +1,23 @@
 /* The platform's workers: which there are, what their tasks report, and what they are asked to do.
- * One call of mt_workers_poll waits for news of a whole data centre, one call of mt_workers_act
- * carries a whole plan, so that calls follow rounds and not tasks. docs/jobs.md has the protocol.
- * Calls block; one thread at a time. */
+ * One call of mt_workers_poll waits for news of a whole data centre, one call of
+ * mt_workers_send_actions carries a whole plan, so that calls follow rounds and not tasks.
+ * docs/jobs.md has the protocol. Calls block; one thread at a time. */
 #ifndef MT_WORKERS_H
 #define MT_WORKERS_H
 
 #include "http_client.h"
 #include "medlartrack/jobs.h"
 
-struct mt_worker_news
+struct mt_worker_update
 {
   char *name;
   char *rack;
-  struct mt_job_resources size;
+  struct mt_job_resources resources;
   uint64_t lease; /* grows each time the worker starts anew */
   bool alive;     /* its lease has not lapsed */
 };
 
-struct mt_task_news
+struct mt_task_update
 {
   enum mt_job_report_kind kind;
   char *job;
@@ -27,11 +27,11 @@
   int64_t age_us; /* since it was measured */
 };
 
-struct mt_workers_news
+struct mt_workers_updates
 {
   uint64_t index;  /* to pass on to the next poll */
-  GArray *workers; /* of struct mt_worker_news */
-  GArray *tasks;   /* of struct mt_task_news */
+  GArray *workers; /* of struct mt_worker_update */
+  GArray *tasks;   /* of struct mt_task_update */
 };
 
 struct mt_workers;
@@ -46,11 +46,11 @@
 bool mt_workers_poll (struct mt_workers *workers,
                       uint64_t index,
                       int64_t wait_us,
-                      struct mt_workers_news *news,
+                      struct mt_workers_updates *news,
                       GError **error);
-void mt_workers_news_clear (struct mt_workers_news *news);
+void mt_workers_updates_clear (struct mt_workers_updates *news);
 /* actions: of struct mt_job_action. False: some or all may not have reached their workers; the book
  * asks again for what nobody confirms. */
-bool mt_workers_act (struct mt_workers *workers, const GArray *actions, GError **error);
+bool mt_workers_send_actions (struct mt_workers *workers, const GArray *actions, GError **error);
 
 #endif
--- a/tests/fuzz/fuzz_frames.c
+++ b/tests/fuzz/fuzz_frames.c
@@ -23,8 +23,9 @@
   encoded = mt_frame_encode (frame.type, frame.sender, frame.body, &len);
   g_assert (encoded != NULL);
   g_assert (mt_frame_length (encoded, &payload, NULL));
-  g_assert (payload == len - MT_FRAME_HEAD);
-  g_assert (mt_frame_decode ((struct mt_str){ encoded + MT_FRAME_HEAD, payload }, &back, NULL));
+  g_assert (payload == len - MT_FRAME_HEADER_BYTES);
+  g_assert (
+      mt_frame_decode ((struct mt_str){ encoded + MT_FRAME_HEADER_BYTES, payload }, &back, NULL));
   g_assert (back.type == frame.type);
   g_assert (mt_str_equal (back.sender, frame.sender) && mt_str_equal (back.body, frame.body));
   return 0;
--- a/tests/fuzz/fuzz_words.c
+++ b/tests/fuzz/fuzz_words.c
@@ -44,7 +44,7 @@
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
   struct mt_str text = { (const char *) data, size };
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_codec ();
   struct mt_registry_entry entry;
 
   read_config (&words, text);
--- a/tests/net/prop_frame.cpp
+++ b/tests/net/prop_frame.cpp
@@ -39,8 +39,9 @@
     size_t len = 0;
 
     RC_ASSERT (mt_frame_length (whole.data (), &len, nullptr));
-    RC_ASSERT (len + MT_FRAME_HEAD == whole.size ());
-    RC_ASSERT (mt_frame_decode (mt_str{ whole.data () + MT_FRAME_HEAD, len }, &frame, nullptr));
+    RC_ASSERT (len + MT_FRAME_HEADER_BYTES == whole.size ());
+    RC_ASSERT (
+        mt_frame_decode (mt_str{ whole.data () + MT_FRAME_HEADER_BYTES, len }, &frame, nullptr));
     RC_ASSERT (frame.type == type);
     RC_ASSERT (mt_str_equal (frame.body, view (body)));
     RC_ASSERT (mt_str_equal (frame.sender, MT_STR ("sender")));
--- a/tests/net/test_http_client.c
+++ b/tests/net/test_http_client.c
@@ -63,10 +63,10 @@
   return (struct mt_http_call){ .method = "POST",
                                 .path = "/invoices",
                                 .body = MT_STR ("x"),
-                                .fresh = fresh,
+                                .new_connection = fresh,
                                 .id = id,
                                 .deadline_us = mt_clock_now (mt_clock_system ()) + within_us,
-                                .max_answer = MAX_ANSWER };
+                                .max_answer_bytes = MAX_ANSWER };
 }
 
 static enum mt_http_outcome
@@ -97,8 +97,8 @@
   call.method = "HEAD";
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
-                    MT_HTTP_WHOLE);
-  assert_int_equal (f->answer.head_bytes, 1234);
+                    MT_HTTP_COMPLETE);
+  assert_int_equal (f->answer.content_length, 1234);
   assert_int_equal (f->answer.body.len, 0);
 }
 
@@ -151,7 +151,7 @@
 {
   struct fixture *f = *state;
 
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_WHOLE);
+  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
   scripted_vanish (f->minion);
   assert_int_equal (ask (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
 }
@@ -166,7 +166,7 @@
   const enum script scripts[] = { SCRIPT_WHOLE, SCRIPT_CLOSE };
 
   scripted_play (f->minion, scripts, 2);
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_WHOLE);
+  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
   assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_UNKNOWN);
   assert_int_equal (scripted_requests (f->minion), 2);
   assert_int_equal (ask (f, MT_STR ("c"), false), MT_HTTP_UNKNOWN);
@@ -187,7 +187,7 @@
 
       scripted_play (f->minion, scripts, 2);
       assert_int_equal (ask (f, MT_STR ("a"), true), MT_HTTP_UNKNOWN);
-      assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_WHOLE);
+      assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_COMPLETE);
     }
   assert_true (mt_arena_used (f->arena) < 1000 * 1000);
 }
@@ -202,14 +202,14 @@
   const enum script bare[] = { SCRIPT_TWICE_BARE, SCRIPT_WHOLE };
 
   scripted_play (f->minion, with_id, 2);
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_WHOLE);
+  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
   assert_int_equal (ask (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
   /* The minion may still read b on the closed connection: the scripts to come are not for it. */
   scripted_wait_for_open (f->minion, 0);
   scripted_play (f->minion, bare, 2);
-  assert_int_equal (ask (f, MT_STR ("c"), false), MT_HTTP_WHOLE);
+  assert_int_equal (ask (f, MT_STR ("c"), false), MT_HTTP_COMPLETE);
   assert_body (f, "ok c");
-  assert_int_equal (ask (f, MT_STR ("d"), false), MT_HTTP_WHOLE);
+  assert_int_equal (ask (f, MT_STR ("d"), false), MT_HTTP_COMPLETE);
   assert_body (f, "ok d");
 }
 
@@ -221,15 +221,15 @@
   struct fixture *f = *state;
   struct mt_http_call call = make_call (MT_STR ("a"), false, 20 * MT_SECOND);
 
-  call.connections = 1;
+  call.max_connections = 1;
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
-                    MT_HTTP_WHOLE);
+                    MT_HTTP_COMPLETE);
   scripted_wait_for_open (f->minion, 1);
-  call.fresh = true;
+  call.new_connection = true;
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
-                    MT_HTTP_WHOLE);
+                    MT_HTTP_COMPLETE);
   scripted_wait_for_open (f->minion, 0);
 }
 
@@ -250,7 +250,7 @@
   struct mt_http_call call = make_call (id, false, within_us);
 
   return mt_http_exchanges_call (f->exchanges, scripted_address (f->minion), &call,
-                                 (struct mt_http_ended){ count_end, f }, f->arena, &f->answer,
+                                 (struct mt_http_completion){ count_end, f }, f->arena, &f->answer,
                                  error);
 }
 
@@ -263,8 +263,8 @@
   const enum script scripts[] = { SCRIPT_WHOLE, SCRIPT_PATIENT };
 
   scripted_play (f->minion, scripts, 2);
-  assert_int_equal (exchange (f, MT_STR ("a"), MT_SECOND, NULL), MT_HTTP_WHOLE);
-  assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_WHOLE);
+  assert_int_equal (exchange (f, MT_STR ("a"), MT_SECOND, NULL), MT_HTTP_COMPLETE);
+  assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_COMPLETE);
   assert_int_equal (f->ended, 2);
 }
 
@@ -283,7 +283,7 @@
   g_mutex_lock (&f->lock);
   assert_int_equal (f->ended, 0);
   g_mutex_unlock (&f->lock);
-  assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_WHOLE);
+  assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_COMPLETE);
   assert_body (f, "ok b");
   scripted_release (f->minion);
   g_mutex_lock (&f->lock);
--- a/tests/net/test_http_server.c
+++ b/tests/net/test_http_server.c
@@ -43,16 +43,16 @@
   g_cond_broadcast (&f->changed);
   while (f->hold)
     g_cond_wait (&f->changed, &f->lock);
-  while (f->wait_until_gone && !mt_http_request_is_gone (request))
+  while (f->wait_until_gone && !mt_http_request_is_aborted (request))
     g_cond_wait_until (&f->changed, &f->lock, g_get_monotonic_time () + G_USEC_PER_SEC / 100);
-  f->saw_gone = mt_http_request_is_gone (request);
+  f->saw_gone = mt_http_request_is_aborted (request);
   g_cond_broadcast (&f->changed);
   g_mutex_unlock (&f->lock);
   request->answer = (struct mt_http_answer){
     .status = 200, .headers = headers, .n_headers = 3, .body = MT_STR ("whole")
   };
   if (mt_str_equal (request->method, MT_STR ("HEAD")))
-    request->answer.head_bytes = 1234;
+    request->answer.content_length = 1234;
   if (f->big > 0)
     request->answer.body = (struct mt_str){ mt_arena_alloc (request->arena, f->big), f->big };
 }
@@ -63,10 +63,10 @@
   struct fixture *f = g_new0 (struct fixture, 1);
   struct mt_http_server_options options = {
     .address = "127.0.0.1:0",
-    .connections = 16,
-    .idle_s = IDLE_S,
-    .body_bytes = BODY_BYTES,
-    .request_memory = 100 * 1000 * 1000,
+    .max_connections = 16,
+    .idle_timeout_s = IDLE_S,
+    .max_body_bytes = BODY_BYTES,
+    .max_request_memory_bytes = 100 * 1000 * 1000,
     .clock = mt_clock_system (),
     .handle = handle,
     .ctx = f,
--- a/tests/net/test_peer.c
+++ b/tests/net/test_peer.c
@@ -46,8 +46,8 @@
   struct fixture *f = g_new0 (struct fixture, 1);
 
   f->server = mt_peer_server_create ("127.0.0.1:0", "server", NULL);
-  mt_peer_server_handle (f->server, MT_PEER_HEARTBEAT, echo, NULL);
-  mt_peer_server_handle (f->server, MT_PEER_CLAIM, hang_up, &f->hung_up);
+  mt_peer_server_set_handler (f->server, MT_PEER_HEARTBEAT, echo, NULL);
+  mt_peer_server_set_handler (f->server, MT_PEER_CLAIM, hang_up, &f->hung_up);
   mt_peer_server_start (f->server);
   g_snprintf (f->address, sizeof f->address, "127.0.0.1:%u", mt_peer_server_port (f->server));
   f->client = mt_peer_client_create (mt_clock_system (), "client");
--- a/tests/net/test_traffic.c
+++ b/tests/net/test_traffic.c
@@ -13,9 +13,9 @@
   char other_start[] = "start";
   const struct mt_traffic_row *rows;
 
-  mt_traffic_sent (traffic, "start", 400);
-  mt_traffic_sent (traffic, other_start, 100);
-  mt_traffic_received (traffic, "hold", 900);
+  mt_traffic_add_sent (traffic, "start", 400);
+  mt_traffic_add_sent (traffic, other_start, 100);
+  mt_traffic_add_received (traffic, "hold", 900);
   assert_int_equal (mt_traffic_rows (traffic, &rows), 2);
   assert_string_equal (rows[0].kind, "start");
   assert_int_equal (rows[0].sent, 2);
@@ -34,8 +34,8 @@
   struct mt_traffic *traffic = mt_traffic_create ();
   const struct mt_traffic_row *rows;
 
-  mt_traffic_sent (NULL, "start", 1);
-  mt_traffic_received (traffic, NULL, 1);
+  mt_traffic_add_sent (NULL, "start", 1);
+  mt_traffic_add_received (traffic, NULL, 1);
   assert_int_equal (mt_traffic_rows (traffic, &rows), 0);
   mt_traffic_destroy (traffic);
 }
--- a/tests/platform/test_store.c
+++ b/tests/platform/test_store.c
@@ -28,7 +28,7 @@
        const char *path,
        struct mt_str body,
        int64_t timeout_ms,
-       mt_adapter_raw_done done,
+       mt_adapter_call_done done,
        void *data)
 {
   struct fixture *f = ctx;
--- a/tests/platform/test_words.c
+++ b/tests/platform/test_words.c
@@ -19,7 +19,7 @@
         "{\"name\":\"one\",\"host\":\"h.example\",\"prefix\":\"/b/\",\"service\":\"s\"},"
         "{\"name\":\"two\",\"host\":\"h.example\",\"service\":\"s\"}],"
         "\"services\":[{\"standby\":true},{\"name\":\"s\"}]}";
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_codec ();
   g_autoptr (GError) error = NULL;
   struct mt_fleet_config *config = words.ops->parse_config (mt_str_from (text), &error);
 
@@ -45,7 +45,7 @@
                                        "{\"version\":3}",
                                        "{\"version\":3,\"routes\":{},\"services\":[]}",
                                        "{\"routes\":[],\"services\":[]}" };
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_codec ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
     {
@@ -65,7 +65,7 @@
 static void
 test_workspaces_are_read_with_keys_and_quotas (void **state)
 {
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_codec ();
   struct mt_fleet_config *config = words.ops->parse_config (
       MT_STR (ROUTES ",\"tenants\":[{\"name\":\"yard\",\"api-keys\":[\"k1\","
                      "\"k2\"],\"weight\":12,\"cap\":{\"cpu\":4000,"
@@ -101,7 +101,7 @@
           "{\"name\":\"a\",\"api-keys\":[5]}",
           "{\"name\":\"a\",\"cap\":{\"cpu\":-1}}",
           "{\"name\":\"a\",\"weight\":-3}" };
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec words = mt_adapter_codec ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (rows); i++)
     {
--- a/tests/process/harness.c
+++ b/tests/process/harness.c
@@ -270,15 +270,16 @@
                                .headers = headers,
                                .n_headers = key != NULL ? G_N_ELEMENTS (headers) : 0,
                                .body = mt_str_from (body != NULL ? body : ""),
-                               .fresh = true,
+                               .new_connection = true,
                                .deadline_us = mt_clock_now (mt_clock_system ()) + SEND_LIMIT_US,
-                               .max_answer = MAX_ANSWER };
+                               .max_answer_bytes = MAX_ANSWER };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer = { 0 };
   struct reply reply = { 0 };
   struct mt_str outcome;
 
-  if (mt_http_client_call (harness->client, address, &call, arena, &answer, NULL) == MT_HTTP_WHOLE)
+  if (mt_http_client_call (harness->client, address, &call, arena, &answer, NULL)
+      == MT_HTTP_COMPLETE)
     {
       reply.status = answer.status;
       reply.body = g_strndup (answer.body.data, answer.body.len);
--- a/tests/standins/fleet_main.c
+++ b/tests/standins/fleet_main.c
@@ -89,9 +89,9 @@
 {
   struct platform p = { .base = event_base_new () };
   struct mt_http_front_options options = { .address = "127.0.0.1:0",
-                                           .connections = 512,
-                                           .idle_s = 60,
-                                           .body_bytes = 1024 * 1024,
+                                           .max_connections = 512,
+                                           .idle_timeout_s = 60,
+                                           .max_body_bytes = 1024 * 1024,
                                            .handle = on_call,
                                            .ctx = &p };
   struct mt_http_front *front = mt_http_front_create (p.base, &options, NULL);
--- a/tests/standins/fleet_workers.c
+++ b/tests/standins/fleet_workers.c
@@ -513,9 +513,9 @@
     {
       struct worker *w = &all->workers[i];
       struct mt_http_front_options options = { .address = "127.0.0.1:0",
-                                               .connections = 64,
-                                               .idle_s = 60,
-                                               .body_bytes = 65536,
+                                               .max_connections = 64,
+                                               .idle_timeout_s = 60,
+                                               .max_body_bytes = 65536,
                                                .handle = on_order,
                                                .ctx = w };
 
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -13,10 +13,10 @@
 {
   struct mt_http_server_options options = {
     .address = address,
-    .connections = CONNECTIONS,
-    .idle_s = IDLE_S,
-    .body_bytes = BODY_BYTES,
-    .request_memory = 0,
+    .max_connections = CONNECTIONS,
+    .idle_timeout_s = IDLE_S,
+    .max_body_bytes = BODY_BYTES,
+    .max_request_memory_bytes = 0,
     .clock = mt_clock_system (),
     .handle = handle,
     .ctx = ctx,
