--- a/tests/platform/test_store.c
+++ b/tests/platform/test_store.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-/* Nobody listens there. */
+/* No process listens on this address. */
 #define NO_STORE "127.0.0.1:1"
 
 struct fixture
@@ -74,7 +74,7 @@
 }
 
 static void
-lose_store (struct fixture *f)
+fail_store_calls (struct fixture *f)
 {
   struct mt_kv kv = mt_adapter_kv (f->adapter);
 
@@ -85,15 +85,15 @@
     }
 }
 
-/* Guards against a daemon that knows no new leader for seconds after the store is back: its watch
- * waits at a neighbour that was cut off meanwhile. */
+/* Guards against a daemon that misses a change of leader for seconds after the store is back,
+ * because its watch waits at another daemon that was partitioned meanwhile. */
 static void
-test_watch_at_a_neighbour_is_short (void **state)
+test_forwarded_watch_has_a_short_wait (void **state)
 {
   struct fixture *f = create_fixture ();
   struct mt_kv kv = mt_adapter_kv (f->adapter);
 
-  lose_store (f);
+  fail_store_calls (f);
   kv.ops->watch (kv.ctx, "medlartrack/cluster/", 7, 5000, on_answer, f);
   assert_int_equal (f->relayed, 1);
   assert_non_null (strstr (f->path, "wait-ms=700"));
@@ -107,7 +107,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_watch_at_a_neighbour_is_short),
+    cmocka_unit_test (test_forwarded_watch_has_a_short_wait),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/platform/test_words.c
+++ b/tests/platform/test_words.c
@@ -7,11 +7,11 @@
 
 #include <cmocka.h>
 
-/* An operator's configuration holds rows that lack what they need, between good ones. The good ones
- * hold, the others are passed over, and nothing of them is kept (the sanitizers tell): a daemon
- * reads some 1,400 versions a day. */
+/* Rows of a configuration that lack a required member are skipped, the valid ones are used. Guards
+ * also against leaking the skipped rows, which the sanitizers report: a daemon reads about 1,400
+ * versions a day. */
 static void
-test_rows_without_a_name_are_passed_over (void **state)
+test_incomplete_rows_are_skipped (void **state)
 {
   const char *text
       = "{\"version\":7,\"routes\":["
@@ -19,9 +19,9 @@
         "{\"name\":\"one\",\"host\":\"h.example\",\"prefix\":\"/b/\",\"service\":\"s\"},"
         "{\"name\":\"two\",\"host\":\"h.example\",\"service\":\"s\"}],"
         "\"services\":[{\"standby\":true},{\"name\":\"s\"}]}";
-  struct mt_codec words = mt_adapter_codec ();
+  struct mt_codec codec = mt_adapter_codec ();
   g_autoptr (GError) error = NULL;
-  struct mt_fleet_config *config = words.ops->parse_config (mt_str_from (text), &error);
+  struct mt_fleet_config *config = codec.ops->parse_config (mt_str_from (text), &error);
 
   assert_null (error);
   assert_non_null (config);
@@ -34,10 +34,11 @@
   mt_fleet_config_free (config);
 }
 
-/* A configuration that can't be read whole is refused, and says what to do: the one in force stays.
+/* A malformed configuration is refused with an error that states the remedy; the one in force
+ * stays.
  */
 static void
-test_unreadable_configuration_names_the_remedy (void **state)
+test_malformed_configuration_error_states_the_remedy (void **state)
 {
   static const char *const texts[] = { "",
                                        "{",
@@ -45,15 +46,15 @@
                                        "{\"version\":3}",
                                        "{\"version\":3,\"routes\":{},\"services\":[]}",
                                        "{\"routes\":[],\"services\":[]}" };
-  struct mt_codec words = mt_adapter_codec ();
+  struct mt_codec codec = mt_adapter_codec ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (texts); i++)
     {
       g_autoptr (GError) error = NULL;
 
-      assert_null (words.ops->parse_config (mt_str_from (texts[i]), &error));
+      assert_null (codec.ops->parse_config (mt_str_from (texts[i]), &error));
       assert_non_null (error);
-      assert_non_null (strstr (error->message, "write it whole"));
+      assert_non_null (strstr (error->message, "send all of it"));
     }
 }
 
@@ -63,10 +64,10 @@
   "\"services\":[{\"name\":\"s\"}]"
 
 static void
-test_workspaces_are_read_with_keys_and_quotas (void **state)
+test_workspaces_are_parsed_with_keys_and_quotas (void **state)
 {
-  struct mt_codec words = mt_adapter_codec ();
-  struct mt_fleet_config *config = words.ops->parse_config (
+  struct mt_codec codec = mt_adapter_codec ();
+  struct mt_fleet_config *config = codec.ops->parse_config (
       MT_STR (ROUTES ",\"tenants\":[{\"name\":\"yard\",\"api-keys\":[\"k1\","
                      "\"k2\"],\"weight\":12,\"cap\":{\"cpu\":4000,"
                      "\"mem-mb\":512,\"gpu\":0}},{\"name\":\"press\"}]}"),
@@ -83,15 +84,15 @@
   assert_int_equal (yard->quota.mem, 512);
   assert_null (mt_workspaces_by_key (config->workspaces, "k3"));
   mt_fleet_config_free (config);
-  config = words.ops->parse_config (MT_STR (ROUTES "}"), NULL);
+  config = codec.ops->parse_config (MT_STR (ROUTES "}"), NULL);
   assert_null (config->workspaces);
   mt_fleet_config_free (config);
 }
 
-/* Guards against callers of one workspace taken for another's: what is ambiguous is refused whole,
- * and the configuration in force stays. */
+/* Guards against attributing callers to the wrong workspace: a configuration with ambiguous
+ * workspaces is refused as a whole, and the one in force stays. The error contains no key. */
 static void
-test_unreadable_workspaces_are_refused_whole (void **state)
+test_malformed_workspaces_are_refused (void **state)
 {
   static const char *const rows[]
       = { "{}",
@@ -101,14 +102,14 @@
           "{\"name\":\"a\",\"api-keys\":[5]}",
           "{\"name\":\"a\",\"cap\":{\"cpu\":-1}}",
           "{\"name\":\"a\",\"weight\":-3}" };
-  struct mt_codec words = mt_adapter_codec ();
+  struct mt_codec codec = mt_adapter_codec ();
 
   for (size_t i = 0; i < G_N_ELEMENTS (rows); i++)
     {
       g_autofree char *text = g_strdup_printf (ROUTES ",\"tenants\":[%s]}", rows[i]);
       g_autoptr (GError) error = NULL;
 
-      assert_null (words.ops->parse_config (mt_str_from (text), &error));
+      assert_null (codec.ops->parse_config (mt_str_from (text), &error));
       assert_non_null (strstr (error->message, "workspace"));
       assert_null (strstr (error->message, "secret"));
     }
@@ -118,10 +119,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_workspaces_are_read_with_keys_and_quotas),
-    cmocka_unit_test (test_unreadable_workspaces_are_refused_whole),
-    cmocka_unit_test (test_rows_without_a_name_are_passed_over),
-    cmocka_unit_test (test_unreadable_configuration_names_the_remedy),
+    cmocka_unit_test (test_workspaces_are_parsed_with_keys_and_quotas),
+    cmocka_unit_test (test_malformed_workspaces_are_refused),
+    cmocka_unit_test (test_incomplete_rows_are_skipped),
+    cmocka_unit_test (test_malformed_configuration_error_states_the_remedy),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
