--- a/net/address.h
+++ b/net/address.h
@@ -1,4 +1,4 @@
-/* IP:PORT texts to socket addresses. */
+/* Conversion between IP:PORT text and socket addresses. */
 #ifndef MT_ADDRESS_H
 #define MT_ADDRESS_H
 
@@ -6,9 +6,10 @@
 #include <netinet/in.h>
 #include <stdbool.h>
 
-/* IPv4 numbers only: processes speak by IP number, names are never looked up. */
+/* Accepts numeric IPv4 only: processes address each other by IP, host names are never resolved.
+ * MT_ERROR_SETTINGS if text is malformed. */
 bool mt_address_parse (const char *text, struct sockaddr_in *out, GError **error);
-/* The port that a bound socket got; 0 on failure. */
+/* Returns the port to which a socket is bound; 0 on failure. */
 unsigned mt_address_bound_port (int fd);
 
 #endif
--- a/net/frame.c
+++ b/net/frame.c
@@ -12,12 +12,12 @@
 {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
-  uint32_t head = 0;
+  uint32_t header = 0;
   char *bytes = NULL;
 
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_sbuffer_write (&buffer, (const char *) &head, sizeof head);
+  msgpack_sbuffer_write (&buffer, (const char *) &header, sizeof header);
   msgpack_pack_array (&packer, 4);
   msgpack_pack_unsigned_int (&packer, MT_PEER_PROTOCOL);
   msgpack_pack_unsigned_int (&packer, type);
@@ -25,8 +25,8 @@
   mt_pack_bin (&packer, body);
   if (buffer.size <= MT_PEER_MAX_FRAME_BYTES)
     {
-      head = htonl ((uint32_t) (buffer.size - MT_FRAME_HEADER_BYTES));
-      memcpy (buffer.data, &head, sizeof head);
+      header = htonl ((uint32_t) (buffer.size - MT_FRAME_HEADER_BYTES));
+      memcpy (buffer.data, &header, sizeof header);
       *len = buffer.size;
       bytes = g_memdup2 (buffer.data, buffer.size);
     }
@@ -35,11 +35,11 @@
 }
 
 bool
-mt_frame_length (const char head[MT_FRAME_HEADER_BYTES], size_t *len, GError **error)
+mt_frame_length (const char header[MT_FRAME_HEADER_BYTES], size_t *len, GError **error)
 {
   uint32_t value;
 
-  memcpy (&value, head, sizeof value);
+  memcpy (&value, header, sizeof value);
   *len = ntohl (value);
   if (*len > 0 && *len <= MT_PEER_MAX_FRAME_BYTES - MT_FRAME_HEADER_BYTES)
     return true;
@@ -50,7 +50,7 @@
 }
 
 static bool
-read_fields (const msgpack_object *root, struct mt_frame *out, GError **error)
+parse_fields (const msgpack_object *root, struct mt_frame *out, GError **error)
 {
   const msgpack_object *fields = mt_pack_get_array (root, 4);
   uint64_t protocol;
@@ -86,7 +86,7 @@
   *out = (struct mt_frame){ 0 };
   if (!mt_pack_read (payload, &unpacked, error))
     return false;
-  ok = read_fields (&unpacked.data, out, error);
+  ok = parse_fields (&unpacked.data, out, error);
   msgpack_unpacked_destroy (&unpacked);
   return ok;
 }
--- a/net/http_calls.c
+++ b/net/http_calls.c
@@ -17,10 +17,10 @@
 
 #define MAX_ANSWER_BYTES (4 * 1024 * 1024)
 #define MAX_HEADER_BYTES (16 * 1024)
-/* First line, Host, Content-Type and Content-Length of a call; status line and headers of an
- * answer. */
-#define CALL_HEAD_BYTES   100U
-#define ANSWER_HEAD_BYTES 110U
+/* Estimates for the traffic counters: request line, Host, Content-Type and Content-Length of a
+ * call; status line and headers of an answer. */
+#define REQUEST_HEAD_BYTES 100U
+#define ANSWER_HEAD_BYTES  110U
 
 struct lane;
 
@@ -28,14 +28,14 @@
 {
   struct lane *lane;
   struct evhttp_connection *evcon;
-  struct pending *busy; /* NULL while idle */
-  bool up;              /* has carried an answer: a failure now is after it was connected */
+  struct pending_call *pending; /* NULL while idle */
+  bool connected;               /* has carried an answer: a later failure is not one to connect */
 };
 
-struct pending
+struct pending_call
 {
   struct lane *lane;
-  struct connection *connection; /* NULL while it waits */
+  struct connection *connection; /* NULL while queued */
   struct event *timer;
   const char *kind;
   enum mt_call_method method;
@@ -47,16 +47,16 @@
   void *ctx;
 };
 
-/* One address under one lane number. */
+/* Connections and queue of one address and lane number. */
 struct lane
 {
   struct mt_calls *calls;
   char *key;
   char *ip;
   uint16_t port;
-  unsigned most;
-  GPtrArray *connections; /* struct connection */
-  GQueue waiting;         /* struct pending */
+  unsigned max_connections;
+  GPtrArray *connections; /* of struct connection */
+  GQueue waiting;         /* of struct pending_call, not sent yet */
 };
 
 struct mt_calls
@@ -64,27 +64,27 @@
   struct event_base *base;
   struct mt_traffic *traffic;
   GHashTable *lanes;
-  GPtrArray *doomed; /* connections to free once libevent has let go of them */
+  GPtrArray *retired; /* closed connections, freed by the reaper */
   struct event *reaper;
-  uint64_t opened;
+  uint64_t connections_opened;
   bool closing;
 };
 
-static void start_next (struct lane *lane);
+static void send_waiting (struct lane *lane);
 
 static void
-free_pending (struct pending *p)
+free_pending (struct pending_call *pending)
 {
-  for (struct mt_call_header *h = p->headers; h != NULL && h->name != NULL; h++)
+  for (struct mt_call_header *h = pending->headers; h != NULL && h->name != NULL; h++)
     {
       g_free ((char *) h->name);
       g_free ((char *) h->value);
     }
-  g_free (p->headers);
-  event_free (p->timer);
-  g_free (p->path);
-  g_free (p->body);
-  g_free (p);
+  g_free (pending->headers);
+  event_free (pending->timer);
+  g_free (pending->path);
+  g_free (pending->body);
+  g_free (pending);
 }
 
 static void
@@ -93,8 +93,8 @@
   struct connection *c = data;
 
   evhttp_connection_free (c->evcon);
-  if (c->busy != NULL)
-    free_pending (c->busy);
+  if (c->pending != NULL)
+    free_pending (c->pending);
   g_free (c);
 }
 
@@ -110,75 +110,77 @@
   g_free (lane);
 }
 
-/* libevent still uses a connection while it calls back, so a failed one is freed from the loop. */
+/* libevent still uses a connection during its callback, so a failed one is freed by a separate
+ * event. */
 static void
-reap (evutil_socket_t fd, short what, void *ctx)
+free_retired (evutil_socket_t fd, short what, void *ctx)
 {
   struct mt_calls *calls = ctx;
 
-  g_ptr_array_set_size (calls->doomed, 0);
+  g_ptr_array_set_size (calls->retired, 0);
 }
 
 static void
-doom (struct connection *c)
+retire_connection (struct connection *c)
 {
   struct mt_calls *calls = c->lane->calls;
 
-  c->busy = NULL;
+  c->pending = NULL;
   g_ptr_array_remove_fast (c->lane->connections, c);
-  g_ptr_array_add (calls->doomed, c);
+  g_ptr_array_add (calls->retired, c);
   event_active (calls->reaper, 0, 0);
 }
 
 static void
-finish (struct pending *p, const struct mt_call_answer *answer)
+complete_call (struct pending_call *pending, const struct mt_call_answer *answer)
 {
-  mt_call_done done = p->done;
-  void *ctx = p->ctx;
-  struct lane *lane = p->lane;
+  mt_call_done done = pending->done;
+  void *ctx = pending->ctx;
+  struct lane *lane = pending->lane;
 
-  free_pending (p);
-  start_next (lane);
+  free_pending (pending);
+  send_waiting (lane);
   done (ctx, answer);
 }
 
 static void
 on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
-  struct pending *p = ctx;
-  struct mt_call_answer answer = { .sent = p->connection != NULL };
+  struct pending_call *pending = ctx;
+  struct mt_call_answer answer = { .sent = pending->connection != NULL };
 
-  if (p->connection != NULL)
-    doom (p->connection);
+  if (pending->connection != NULL)
+    retire_connection (pending->connection);
   else
-    g_queue_remove (&p->lane->waiting, p);
-  finish (p, &answer);
+    g_queue_remove (&pending->lane->waiting, pending);
+  complete_call (pending, &answer);
 }
 
 static void
 on_answer (struct evhttp_request *request, void *ctx)
 {
   struct connection *c = ctx;
-  struct pending *p = c->busy;
+  struct pending_call *pending = c->pending;
   struct mt_call_answer answer = { .sent = true };
   struct evbuffer *input;
 
-  if (p == NULL)
-    return; /* timed out before */
+  if (pending == NULL)
+    return; /* already timed out */
   if (request == NULL || evhttp_request_get_response_code (request) == 0)
     {
-      doom (c);
-      finish (p, &answer);
+      retire_connection (c);
+      complete_call (pending, &answer);
       return;
     }
   input = evhttp_request_get_input_buffer (request);
   answer.status = evhttp_request_get_response_code (request);
   answer.body.len = evbuffer_get_length (input);
   answer.body.data = (const char *) evbuffer_pullup (input, -1);
-  mt_traffic_add_received (c->lane->calls->traffic, p->kind, ANSWER_HEAD_BYTES + answer.body.len);
-  c->busy = NULL;
-  c->up = true;
-  finish (p, &answer);
+  mt_traffic_add_received (c->lane->calls->traffic, pending->kind,
+                           ANSWER_HEAD_BYTES + answer.body.len);
+  c->pending = NULL;
+  c->connected = true;
+  complete_call (pending, &answer);
 }
 
 static struct connection *
@@ -191,35 +193,35 @@
   evhttp_connection_set_max_body_size (c->evcon, MAX_ANSWER_BYTES);
   evhttp_connection_set_max_headers_size (c->evcon, MAX_HEADER_BYTES);
   g_ptr_array_add (lane->connections, c);
-  lane->calls->opened++;
+  lane->calls->connections_opened++;
   return c;
 }
 
 static struct connection *
-idle_connection (struct lane *lane)
+get_connection (struct lane *lane)
 {
   for (guint i = 0; i < lane->connections->len; i++)
     {
       struct connection *c = lane->connections->pdata[i];
 
-      if (c->busy == NULL)
+      if (c->pending == NULL)
         return c;
     }
-  return lane->connections->len < lane->most ? open_connection (lane) : NULL;
+  return lane->connections->len < lane->max_connections ? open_connection (lane) : NULL;
 }
 
 static size_t
-call_bytes (const struct pending *p)
+get_request_bytes (const struct pending_call *pending)
 {
-  size_t bytes = CALL_HEAD_BYTES + strlen (p->path) + p->body_len;
+  size_t bytes = REQUEST_HEAD_BYTES + strlen (pending->path) + pending->body_len;
 
-  for (const struct mt_call_header *h = p->headers; h != NULL && h->name != NULL; h++)
+  for (const struct mt_call_header *h = pending->headers; h != NULL && h->name != NULL; h++)
     bytes += strlen (h->name) + strlen (h->value);
   return bytes;
 }
 
 static void
-send_on (struct connection *c, struct pending *p)
+send_on_connection (struct connection *c, struct pending_call *pending)
 {
   static const enum evhttp_cmd_type methods[] = {
     [MT_CALL_GET] = EVHTTP_REQ_GET,
@@ -232,30 +234,30 @@
 
   g_snprintf (host, sizeof host, "%s:%u", c->lane->ip, c->lane->port);
   evhttp_add_header (headers, "Host", host);
-  for (const struct mt_call_header *h = p->headers; h != NULL && h->name != NULL; h++)
+  for (const struct mt_call_header *h = pending->headers; h != NULL && h->name != NULL; h++)
     evhttp_add_header (headers, h->name, h->value);
-  if (p->body_len > 0)
+  if (pending->body_len > 0)
     {
       evhttp_add_header (headers, "Content-Type", "application/json");
-      evbuffer_add (evhttp_request_get_output_buffer (request), p->body, p->body_len);
+      evbuffer_add (evhttp_request_get_output_buffer (request), pending->body, pending->body_len);
     }
-  c->busy = p;
-  p->connection = c;
-  mt_traffic_add_sent (c->lane->calls->traffic, p->kind, call_bytes (p));
-  /* On failure libevent frees the request without calling back; the timer then ends the call. */
-  evhttp_make_request (c->evcon, request, methods[p->method], p->path);
+  c->pending = pending;
+  pending->connection = c;
+  mt_traffic_add_sent (c->lane->calls->traffic, pending->kind, get_request_bytes (pending));
+  /* On failure libevent frees the request without a callback; the timer then completes the call. */
+  evhttp_make_request (c->evcon, request, methods[pending->method], pending->path);
 }
 
 static void
-start_next (struct lane *lane)
+send_waiting (struct lane *lane)
 {
   while (!lane->calls->closing && !g_queue_is_empty (&lane->waiting))
     {
-      struct connection *c = idle_connection (lane);
+      struct connection *c = get_connection (lane);
 
       if (c == NULL)
         return;
-      send_on (c, g_queue_pop_head (&lane->waiting));
+      send_on_connection (c, g_queue_pop_head (&lane->waiting));
     }
 }
 
@@ -279,7 +281,7 @@
       lane->connections = g_ptr_array_new_with_free_func (NULL);
       g_hash_table_insert (calls->lanes, lane->key, lane);
     }
-  lane->most = MAX (call->max_connections, 1U);
+  lane->max_connections = MAX (call->max_connections, 1U);
   return lane;
 }
 
@@ -302,22 +304,22 @@
 void
 mt_calls_send (struct mt_calls *calls, const struct mt_call *call, mt_call_done done, void *ctx)
 {
-  struct pending *p = g_new0 (struct pending, 1);
+  struct pending_call *pending = g_new0 (struct pending_call, 1);
   struct timeval limit = { call->timeout_ms / 1000, call->timeout_ms % 1000 * 1000 };
 
-  p->lane = get_lane (calls, call);
-  p->kind = call->kind;
-  p->method = call->method;
-  p->path = g_strdup (call->path);
-  p->body = g_memdup2 (call->body.data, call->body.len);
-  p->body_len = call->body.len;
-  p->headers = copy_headers (call->headers);
-  p->done = done;
-  p->ctx = ctx;
-  p->timer = event_new (calls->base, -1, 0, on_timeout, p);
-  event_add (p->timer, &limit);
-  g_queue_push_tail (&p->lane->waiting, p);
-  start_next (p->lane);
+  pending->lane = get_lane (calls, call);
+  pending->kind = call->kind;
+  pending->method = call->method;
+  pending->path = g_strdup (call->path);
+  pending->body = g_memdup2 (call->body.data, call->body.len);
+  pending->body_len = call->body.len;
+  pending->headers = copy_headers (call->headers);
+  pending->done = done;
+  pending->ctx = ctx;
+  pending->timer = event_new (calls->base, -1, 0, on_timeout, pending);
+  event_add (pending->timer, &limit);
+  g_queue_push_tail (&pending->lane->waiting, pending);
+  send_waiting (pending->lane);
 }
 
 void
@@ -332,15 +334,15 @@
       if (!g_str_has_prefix (lane->key, address) || lane->key[strlen (address)] != '/')
         continue;
       for (guint i = lane->connections->len; i > 0; i--)
-        if (((struct connection *) lane->connections->pdata[i - 1])->busy == NULL)
-          doom (lane->connections->pdata[i - 1]);
+        if (((struct connection *) lane->connections->pdata[i - 1])->pending == NULL)
+          retire_connection (lane->connections->pdata[i - 1]);
     }
 }
 
 uint64_t
 mt_calls_connections_opened (const struct mt_calls *calls)
 {
-  return calls->opened;
+  return calls->connections_opened;
 }
 
 struct mt_calls *
@@ -351,14 +353,15 @@
   calls->base = base;
   calls->traffic = traffic;
   calls->lanes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_lane);
-  calls->doomed = g_ptr_array_new_with_free_func (free_connection);
-  calls->reaper = event_new (base, -1, 0, reap, calls);
+  calls->retired = g_ptr_array_new_with_free_func (free_connection);
+  calls->reaper = event_new (base, -1, 0, free_retired, calls);
   return calls;
 }
 
-/* Ends one call; false where none is left. Its callback may make another, which ends here too. */
+/* Completes one call without an answer; returns false if none is left. A callback may start another
+ * call, which a later iteration completes. */
 static bool
-end_one (struct mt_calls *calls)
+complete_one_call (struct mt_calls *calls)
 {
   GHashTableIter it;
   struct lane *lane;
@@ -367,14 +370,14 @@
   while (g_hash_table_iter_next (&it, NULL, (void **) &lane))
     {
       struct connection *c = lane->connections->len > 0 ? lane->connections->pdata[0] : NULL;
-      struct pending *p = c != NULL ? c->busy : g_queue_pop_head (&lane->waiting);
+      struct pending_call *pending = c != NULL ? c->pending : g_queue_pop_head (&lane->waiting);
       struct mt_call_answer answer = { .sent = c != NULL };
 
       if (c != NULL)
-        doom (c);
-      if (p != NULL)
-        finish (p, &answer);
-      if (c != NULL || p != NULL)
+        retire_connection (c);
+      if (pending != NULL)
+        complete_call (pending, &answer);
+      if (c != NULL || pending != NULL)
         return true;
     }
   return false;
@@ -386,9 +389,9 @@
   if (calls == NULL)
     return;
   calls->closing = true;
-  while (end_one (calls))
+  while (complete_one_call (calls))
     continue;
-  g_ptr_array_unref (calls->doomed);
+  g_ptr_array_unref (calls->retired);
   g_hash_table_unref (calls->lanes);
   event_free (calls->reaper);
   g_free (calls);
--- a/net/http_calls.h
+++ b/net/http_calls.h
@@ -1,5 +1,5 @@
-/* Outgoing HTTP calls by the hundred on one thread: libevent's client over kept-alive connections.
- * All functions and callbacks on the loop's thread. Nothing is ever sent again by itself. */
+/* Client for hundreds of concurrent HTTP calls on one thread, with libevent over keep-alive
+ * connections. All functions and callbacks run on the loop's thread. Calls are never retried. */
 #ifndef MT_HTTP_CALLS_H
 #define MT_HTTP_CALLS_H
 
@@ -28,38 +28,38 @@
 struct mt_call
 {
   const char *address; /* IP:PORT */
-  const char *kind;    /* a constant: what the call counts as in the traffic */
+  const char *kind;    /* traffic counter of the call; a constant string */
   enum mt_call_method method;
   const char *path;
-  struct mt_str body;                   /* JSON; empty for none */
-  const struct mt_call_header *headers; /* NULL for none */
-  int64_t timeout_ms; /* from now to the last byte; the connection is closed then */
-  /* Calls of one address and lane share connections, at most `connections` of them; further ones
-   * wait in turn, within their timeout. */
+  struct mt_str body;                   /* JSON; empty if there is none */
+  const struct mt_call_header *headers; /* NULL if there are none */
+  int64_t timeout_ms; /* until the last byte of the answer; then the connection is closed */
+  /* Calls with the same address and lane share at most max_connections connections. Further calls
+   * are queued; their timeout includes the time in the queue. */
   unsigned lane;
   unsigned max_connections;
 };
 
 struct mt_call_answer
 {
-  int status; /* 0: no whole answer */
-  bool sent;  /* without an answer: the far side may have acted on it */
+  int status; /* 0: no complete answer */
+  bool sent;  /* the call was sent: the server may have acted on it, even without an answer */
   struct mt_str body;
 };
 
-/* The answer's memory is gone after the callback. */
+/* answer is valid only during the callback. */
 typedef void (*mt_call_done) (void *ctx, const struct mt_call_answer *answer);
 
-/* traffic: counts what is sent and received; NULL for nobody. */
+/* traffic: counters of what is sent and received; NULL for none. */
 struct mt_calls *mt_calls_create (struct event_base *base, struct mt_traffic *traffic);
-/* Calls under way end without an answer, by their callbacks. */
+/* Completes the pending calls without an answer, by their callbacks. */
 void mt_calls_destroy (struct mt_calls *calls);
-/* done is called later, exactly once, never from within. */
+/* done is called exactly once, never before the function has returned. */
 void
 mt_calls_send (struct mt_calls *calls, const struct mt_call *call, mt_call_done done, void *ctx);
-/* Closes the idle connections to an address that is not needed any more. */
+/* Closes the idle connections to an address. */
 void mt_calls_close_idle (struct mt_calls *calls, const char *address);
-/* Connections opened so far. */
+/* Number of connections opened so far. */
 uint64_t mt_calls_connections_opened (const struct mt_calls *calls);
 
 #endif
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -11,26 +11,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_IDLE    64 /* kept connections to one address where the call sets no limit */
-#define IDLE_US     (10 * MT_SECOND)
-#define LATE_US     (1 * MT_SECOND) /* an answer that still trickles so long after is cut */
-#define CONNECT_S   2 /* within a data centre a machine that is there answers sooner */
-#define READ_CHUNK  16384
-#define MAX_HEADERS 64
-#define ID_HEADER   "Medlartrack-Request-Id"
-
-/* A connection between two exchanges. */
-struct idle
+#define MAX_IDLE_CONNECTIONS 64 /* kept connections per address if the call sets no limit */
+#define IDLE_TIMEOUT_US      (10 * MT_SECOND)
+#define MAX_OVERRUN_US       (1 * MT_SECOND) /* after the deadline; then a slow answer is cut off */
+#define CONNECT_TIMEOUT_S    2 /* within a data centre a live machine answers sooner */
+#define READ_CHUNK_BYTES     16384
+#define MAX_HEADERS          64
+#define ID_HEADER            "Medlartrack-Request-Id"
+
+/* A connection without a current exchange. */
+struct idle_connection
 {
   ne_session *session;
-  int seconds; /* its timeout */
-  int64_t since_us;
+  int timeout_s; /* its read timeout, in whole seconds */
+  int64_t idle_since_us;
 };
 
 struct peer
 {
-  GQueue idle;   /* of struct idle, the last used first */
-  unsigned open; /* connections, those in an exchange included */
+  GQueue idle;     /* of struct idle_connection, most recently used first */
+  unsigned n_open; /* connections, those in use included */
 };
 
 struct mt_http_client
@@ -43,14 +43,14 @@
 struct connection
 {
   ne_session *session;
-  int seconds;
-  bool used; /* it has carried a request before */
+  int timeout_s;
+  bool used; /* has carried a request before */
 };
 
 static void
 free_idle (gpointer data)
 {
-  struct idle *idle = data;
+  struct idle_connection *idle = data;
 
   ne_session_destroy (idle->session);
   g_free (idle);
@@ -67,7 +67,7 @@
 
 /* The lock is held. */
 static struct peer *
-find_peer (struct mt_http_client *client, const char *address)
+get_peer (struct mt_http_client *client, const char *address)
 {
   struct peer *peer = g_hash_table_lookup (client->peers, address);
 
@@ -81,56 +81,57 @@
 }
 
 static ne_session *
-open_session (const char *address, int seconds, bool fresh)
+open_session (const char *address, int timeout_s, bool new_connection)
 {
   const char *colon = strrchr (address, ':');
   g_autofree char *host = g_strndup (address, (gsize) (colon - address));
   ne_session *session = ne_session_create ("http", host, (unsigned) atoi (colon + 1));
 
-  /* neon repeats a request by itself when a kept connection turns out closed, a POST too. With
-   * persistence off no connection carries a second request, so there is nothing to repeat on. */
-  if (fresh)
+  /* neon retries a request by itself, a POST too, if it finds a kept connection closed. Without
+   * persistence no connection carries a second request, so that never happens. */
+  if (new_connection)
     ne_set_session_flag (session, NE_SESSFLAG_PERSIST, 0);
-  ne_set_connect_timeout (session, MIN (seconds, CONNECT_S));
-  ne_set_read_timeout (session, seconds);
+  ne_set_connect_timeout (session, MIN (timeout_s, CONNECT_TIMEOUT_S));
+  ne_set_read_timeout (session, timeout_s);
   return session;
 }
 
-/* The lock is held. Takes out the idle connections that are too old, and with a limit those that
- * leave no room for another; they are freed outside of the lock. */
+/* Removes the idle connections that are too old and, if there is a limit, as many more as a new
+ * connection needs. The caller holds the lock, and frees them after releasing it. */
 static void
-drop_idle (struct mt_http_client *client, struct peer *peer, unsigned limit, GQueue *dropped)
+evict_idle (struct mt_http_client *client, struct peer *peer, unsigned limit, GQueue *evicted)
 {
   int64_t now = mt_clock_now (client->clock);
-  const struct idle *oldest;
+  const struct idle_connection *oldest;
 
-  while ((oldest = g_queue_peek_tail (&peer->idle)) != NULL
-         && (oldest->since_us + IDLE_US <= now || (limit > 0 && peer->open >= limit)))
+  while (
+      (oldest = g_queue_peek_tail (&peer->idle)) != NULL
+      && (oldest->idle_since_us + IDLE_TIMEOUT_US <= now || (limit > 0 && peer->n_open >= limit)))
     {
-      g_queue_push_tail (dropped, g_queue_pop_tail (&peer->idle));
-      peer->open--;
+      g_queue_push_tail (evicted, g_queue_pop_tail (&peer->idle));
+      peer->n_open--;
     }
 }
 
-/* neon counts whole seconds; who needs the answer on time waits in mt_http_exchanges. */
+/* neon's timeouts are whole seconds, rounded up here; mt_http_exchanges keeps exact deadlines. */
 static int
-work_out_timeout (const struct mt_http_client *client, const struct mt_http_call *call)
+compute_timeout_s (const struct mt_http_client *client, const struct mt_http_call *call)
 {
-  int64_t left = call->deadline_us - mt_clock_now (client->clock);
+  int64_t remaining_us = call->deadline_us - mt_clock_now (client->clock);
 
-  return left <= 0 ? 1 : (int) ((left + MT_SECOND - 1) / MT_SECOND);
+  return remaining_us <= 0 ? 1 : (int) ((remaining_us + MT_SECOND - 1) / MT_SECOND);
 }
 
-/* neon gives a connection its timeout when it opens it. A shorter one would cut this call, and a
+/* neon sets a connection's timeout when opening it. A shorter one would cut off this call, and a
  * much longer one would let it wait far past its deadline. */
-static struct idle *
-pop_fitting (struct peer *peer, int seconds)
+static struct idle_connection *
+pop_compatible (struct peer *peer, int timeout_s)
 {
   for (GList *l = peer->idle.head; l != NULL; l = l->next)
     {
-      struct idle *idle = l->data;
+      struct idle_connection *idle = l->data;
 
-      if (idle->seconds < seconds || idle->seconds > 2 * seconds)
+      if (idle->timeout_s < timeout_s || idle->timeout_s > 2 * timeout_s)
         continue;
       g_queue_delete_link (&peer->idle, l);
       return idle;
@@ -138,71 +139,72 @@
   return NULL;
 }
 
-static struct idle *
-take_idle (struct mt_http_client *client,
-           const char *address,
-           const struct mt_http_call *call,
-           int seconds,
-           GQueue *dropped)
+static struct idle_connection *
+acquire_idle (struct mt_http_client *client,
+              const char *address,
+              const struct mt_http_call *call,
+              int timeout_s,
+              GQueue *evicted)
 {
-  struct idle *idle = NULL;
+  struct idle_connection *idle = NULL;
   struct peer *peer;
 
   g_mutex_lock (&client->lock);
-  peer = find_peer (client, address);
-  drop_idle (client, peer, 0, dropped);
+  peer = get_peer (client, address);
+  evict_idle (client, peer, 0, evicted);
   if (!call->new_connection)
-    idle = pop_fitting (peer, seconds);
+    idle = pop_compatible (peer, timeout_s);
   if (idle == NULL)
     {
-      drop_idle (client, peer, call->max_connections, dropped);
-      peer->open++;
+      evict_idle (client, peer, call->max_connections, evicted);
+      peer->n_open++;
     }
   g_mutex_unlock (&client->lock);
   return idle;
 }
 
 static struct connection
-take_connection (struct mt_http_client *client,
-                 const char *address,
-                 const struct mt_http_call *call)
+acquire_connection (struct mt_http_client *client,
+                    const char *address,
+                    const struct mt_http_call *call)
 {
-  int seconds = work_out_timeout (client, call);
+  int timeout_s = compute_timeout_s (client, call);
   struct connection connection = { .used = true };
-  GQueue dropped = G_QUEUE_INIT;
-  struct idle *idle = take_idle (client, address, call, seconds, &dropped);
+  GQueue evicted = G_QUEUE_INIT;
+  struct idle_connection *idle = acquire_idle (client, address, call, timeout_s, &evicted);
 
-  g_queue_clear_full (&dropped, free_idle);
+  g_queue_clear_full (&evicted, free_idle);
   if (idle == NULL)
-    return (struct connection){ open_session (address, seconds, call->new_connection), seconds,
+    return (struct connection){ open_session (address, timeout_s, call->new_connection), timeout_s,
                                 false };
   connection.session = idle->session;
-  connection.seconds = idle->seconds;
+  connection.timeout_s = idle->timeout_s;
   g_free (idle);
   return connection;
 }
 
 static void
-give_connection (struct mt_http_client *client,
-                 const char *address,
-                 const struct mt_http_call *call,
-                 struct connection connection,
-                 bool keep)
+release_connection (struct mt_http_client *client,
+                    const char *address,
+                    const struct mt_http_call *call,
+                    struct connection connection,
+                    bool keep)
 {
-  unsigned limit = call->max_connections > 0 ? call->max_connections : MAX_IDLE;
-  struct idle *idle = NULL;
+  unsigned limit = call->max_connections > 0 ? call->max_connections : MAX_IDLE_CONNECTIONS;
+  struct idle_connection *idle = NULL;
   struct peer *peer;
 
   g_mutex_lock (&client->lock);
-  peer = find_peer (client, address);
-  if (keep && peer->open <= limit)
+  peer = get_peer (client, address);
+  if (keep && peer->n_open <= limit)
     {
-      idle = g_new (struct idle, 1);
-      *idle = (struct idle){ connection.session, connection.seconds, mt_clock_now (client->clock) };
+      idle = g_new (struct idle_connection, 1);
+      *idle = (struct idle_connection){ connection.session, connection.timeout_s,
+                                        mt_clock_now (client->clock) };
       g_queue_push_head (&peer->idle, idle);
     }
   else
-    peer->open--;
+    peer->n_open--;
   g_mutex_unlock (&client->lock);
   if (idle == NULL)
     ne_session_destroy (connection.session);
@@ -250,7 +252,7 @@
   return true;
 }
 
-/* Without a length or a final chunk a cut answer looks like a whole one. */
+/* Without a length or chunks a truncated answer looks complete. */
 static bool
 answer_is_delimited (ne_request *request, const char *method, int status)
 {
@@ -259,8 +261,8 @@
          || ne_get_response_header (request, "Transfer-Encoding") != NULL;
 }
 
-/* The read timeout starts anew with each byte: a minion that trickles would hold the connection and
- * its slot for ever. */
+/* The read timeout restarts with each byte, so the deadline is checked too: a minion that sends
+ * byte by byte would hold the connection and its slot for ever. */
 static bool
 read_body (struct mt_http_client *client,
            ne_request *request,
@@ -268,7 +270,7 @@
            GString *body,
            GError **error)
 {
-  char chunk[READ_CHUNK];
+  char chunk[READ_CHUNK_BYTES];
   ssize_t n;
 
   while ((n = ne_read_response_block (request, chunk, sizeof chunk)) > 0)
@@ -280,21 +282,22 @@
                        call->max_answer_bytes);
           return false;
         }
-      if (mt_clock_now (client->clock) > call->deadline_us + LATE_US)
+      if (mt_clock_now (client->clock) > call->deadline_us + MAX_OVERRUN_US)
         {
           g_set_error (error, MT_ERROR, MT_ERROR_TIMEOUT,
-                       "the answer trickles past its deadline; see the minion's log");
+                       "the answer was still arriving after its deadline; see the minion's log");
           return false;
         }
       g_string_append_len (body, chunk, n);
     }
   if (n < 0)
-    g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "the answer was cut; see the minion's log");
+    g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
+                 "the answer is incomplete; see the minion's log");
   return n == 0;
 }
 
 static uint64_t
-read_length (ne_request *request)
+parse_content_length (ne_request *request)
 {
   const char *text = ne_get_response_header (request, "Content-Length");
   unsigned long long bytes = 0;
@@ -320,7 +323,7 @@
       return false;
     }
   if (strcmp (call->method, "HEAD") == 0)
-    answer->content_length = read_length (request);
+    answer->content_length = parse_content_length (request);
   if (!read_body (client, request, call, body, error))
     return false;
   answer->body = mt_arena_dup (arena, (struct mt_str){ body->str, body->len });
@@ -332,7 +335,7 @@
 }
 
 static void
-note_status (void *ctx, ne_session_status status, const ne_session_status_info *info)
+on_status (void *ctx, ne_session_status status, const ne_session_status_info *info)
 {
   bool *connected = ctx;
 
@@ -340,24 +343,25 @@
     *connected = true;
 }
 
-/* Only a first failure to connect proves that no byte has left: on a connection used before, neon
- * may have written the request, found the connection closed and failed to open another. */
+/* Only on a new connection does a failure to connect prove that nothing was sent: on one used
+ * before, neon may have written the request, then found the connection closed and failed to
+ * reconnect. */
 static enum mt_http_outcome
-begin (struct connection connection, ne_request *request, GError **error)
+begin_request (struct connection connection, ne_request *request, GError **error)
 {
   ne_session *session = connection.session;
   bool connected = false;
   int rc;
 
-  ne_set_notifier (session, note_status, &connected);
+  ne_set_notifier (session, on_status, &connected);
   rc = ne_begin_request (request);
   ne_set_notifier (session, NULL, NULL);
   if (rc == NE_OK)
     return MT_HTTP_COMPLETE;
   if (!connected && !connection.used)
     {
-      g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE, "%s; check that the address listens",
-                   ne_get_error (session));
+      g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
+                   "%s; check that a process listens on the address", ne_get_error (session));
       return MT_HTTP_NOT_SENT;
     }
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "%s", ne_get_error (session));
@@ -373,7 +377,7 @@
           struct mt_http_answer *answer,
           GError **error)
 {
-  enum mt_http_outcome outcome = begin (connection, request, error);
+  enum mt_http_outcome outcome = begin_request (connection, request, error);
 
   if (outcome != MT_HTTP_COMPLETE)
     return outcome;
@@ -388,33 +392,35 @@
 }
 
 static struct mt_str
-echoed_id (const struct mt_http_answer *answer)
+get_echoed_id (const struct mt_http_answer *answer)
 {
   return mt_http_header_find (answer->headers, answer->n_headers, MT_STR (ID_HEADER));
 }
 
 static enum mt_http_outcome
-check_id (const struct mt_http_call *call, const struct mt_http_answer *answer, GError **error)
+check_request_id (const struct mt_http_call *call,
+                  const struct mt_http_answer *answer,
+                  GError **error)
 {
-  struct mt_str id = echoed_id (answer);
+  struct mt_str id = get_echoed_id (answer);
 
   if (call->id.len == 0 || id.data == NULL || mt_str_equal (id, call->id))
     return MT_HTTP_COMPLETE;
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
-               "the answer is another request's; see the minion's log");
+               "the answer has another request's id; see the minion's log");
   return MT_HTTP_UNKNOWN;
 }
 
-/* A connection whose exchange went wrong may still receive the late answer: it is never used again,
- * so that the next request can't meet it. Nor is one whose minion echoes no id: an answer sent
- * twice would be taken for the next request's. */
+/* A connection whose exchange failed may still receive the late answer, which the next request
+ * would take for its own, so it is not reused. Nor is one whose minion echoes no id: the copy of a
+ * duplicated answer would be taken for the next request's. */
 static bool
-may_keep (const struct mt_http_call *call,
-          const struct mt_http_answer *answer,
-          enum mt_http_outcome outcome)
+is_reusable (const struct mt_http_call *call,
+             const struct mt_http_answer *answer,
+             enum mt_http_outcome outcome)
 {
   return outcome == MT_HTTP_COMPLETE && !call->new_connection
-         && (call->id.len == 0 || echoed_id (answer).data != NULL);
+         && (call->id.len == 0 || get_echoed_id (answer).data != NULL);
 }
 
 struct mt_http_client *
@@ -447,7 +453,7 @@
                      struct mt_http_answer *answer,
                      GError **error)
 {
-  struct connection connection = take_connection (client, address, call);
+  struct connection connection = acquire_connection (client, address, call);
   ne_request *request = ne_request_create (connection.session, call->method, call->path);
   enum mt_http_outcome outcome;
 
@@ -460,9 +466,9 @@
     ne_set_request_body_buffer (request, call->body.data, call->body.len);
   outcome = exchange (client, connection, request, call, arena, answer, error);
   if (outcome == MT_HTTP_COMPLETE)
-    outcome = check_id (call, answer, error);
+    outcome = check_request_id (call, answer, error);
   ne_request_destroy (request);
-  give_connection (client, address, call, connection, may_keep (call, answer, outcome));
+  release_connection (client, address, call, connection, is_reusable (call, answer, outcome));
   return outcome;
 }
 
--- a/net/http_connections.c
+++ b/net/http_connections.c
@@ -4,13 +4,13 @@
 #include <stdbool.h>
 #include <sys/socket.h>
 
-#define CHECKS 4 /* within the limit */
+#define CHECKS_PER_LIMIT 4 /* checks for slow callers in each limit_us */
 
 struct mt_http_connection
 {
   int fd;
   enum mt_http_phase phase;
-  int64_t since_us;
+  int64_t phase_since_us;
   GList link;
 };
 
@@ -19,11 +19,11 @@
   const struct mt_clock *clock;
   int64_t limit_us;
   GThread *watchdog;
-  GMutex lock; /* guards all below and what is in the connections */
+  GMutex lock; /* guards the fields below and the connections' */
   GCond changed;
   GQueue open;
   unsigned in_flight; /* not idle */
-  bool ending;
+  bool closing_idle;
   bool stopping;
 };
 
@@ -33,13 +33,13 @@
             int64_t now_us)
 {
   return connection->phase != MT_HTTP_PHASE_HANDLING
-         && now_us - connection->since_us > connections->limit_us;
+         && now_us - connection->phase_since_us > connections->limit_us;
 }
 
-/* libmicrohttpd's own timeout starts anew with each byte: a caller that sends one byte now and then
- * would hold its connection, and a graceful stop, for ever. */
+/* libmicrohttpd's own timeout restarts with each byte: a caller that sends single bytes at
+ * intervals would hold its connection open, and block a graceful stop, for ever. */
 static gpointer
-watch (gpointer data)
+run_watchdog (gpointer data)
 {
   struct mt_http_connections *connections = data;
 
@@ -56,7 +56,7 @@
             shutdown (connection->fd, SHUT_RDWR);
         }
       g_cond_wait_until (&connections->changed, &connections->lock,
-                         g_get_monotonic_time () + connections->limit_us / CHECKS);
+                         g_get_monotonic_time () + connections->limit_us / CHECKS_PER_LIMIT);
     }
   g_mutex_unlock (&connections->lock);
   return NULL;
@@ -72,7 +72,7 @@
   g_mutex_init (&connections->lock);
   g_cond_init (&connections->changed);
   g_queue_init (&connections->open);
-  connections->watchdog = g_thread_new ("callers", watch, connections);
+  connections->watchdog = g_thread_new ("callers", run_watchdog, connections);
   return connections;
 }
 
@@ -95,7 +95,7 @@
   struct mt_http_connection *connection = g_new0 (struct mt_http_connection, 1);
 
   connection->fd = fd;
-  connection->since_us = mt_clock_now (connections->clock);
+  connection->phase_since_us = mt_clock_now (connections->clock);
   connection->link.data = connection;
   g_mutex_lock (&connections->lock);
   g_queue_push_tail_link (&connections->open, &connection->link);
@@ -103,22 +103,22 @@
   return connection;
 }
 
-/* The lock is held. */
+/* The caller holds the lock. */
 static void
 change_phase (struct mt_http_connections *connections,
               struct mt_http_connection *connection,
               enum mt_http_phase phase)
 {
-  bool was = connection->phase != MT_HTTP_PHASE_IDLE;
-  bool is = phase != MT_HTTP_PHASE_IDLE;
+  bool was_in_flight = connection->phase != MT_HTTP_PHASE_IDLE;
+  bool is_in_flight = phase != MT_HTTP_PHASE_IDLE;
 
-  /* Receiving counts from the last answer on: a slow request line is no better than a slow header.
-   */
+  /* The time for receiving counts from the last answer on, so that a slow request line is limited
+   * like slow headers. */
   if (phase != MT_HTTP_PHASE_RECEIVING)
-    connection->since_us = mt_clock_now (connections->clock);
+    connection->phase_since_us = mt_clock_now (connections->clock);
   connection->phase = phase;
-  connections->in_flight += (is ? 1U : 0U) - (was ? 1U : 0U);
-  if (connections->in_flight == 0 && connections->ending)
+  connections->in_flight += (is_in_flight ? 1U : 0U) - (was_in_flight ? 1U : 0U);
+  if (connections->in_flight == 0 && connections->closing_idle)
     g_cond_broadcast (&connections->changed);
 }
 
@@ -133,9 +133,9 @@
   g_free (connection);
 }
 
-/* The receiving side only: a request that has come in meanwhile is still read and answered. */
+/* Shuts down only the receiving side: a request that has already arrived is still answered. */
 static void
-end_if_idle (const struct mt_http_connection *connection)
+close_if_idle (const struct mt_http_connection *connection)
 {
   if (connection->phase == MT_HTTP_PHASE_IDLE)
     shutdown (connection->fd, SHUT_RD);
@@ -148,18 +148,18 @@
 {
   g_mutex_lock (&connections->lock);
   change_phase (connections, connection, phase);
-  if (connections->ending)
-    end_if_idle (connection);
+  if (connections->closing_idle)
+    close_if_idle (connection);
   g_mutex_unlock (&connections->lock);
 }
 
 void
-mt_http_connections_end_idle (struct mt_http_connections *connections)
+mt_http_connections_close_idle (struct mt_http_connections *connections)
 {
   g_mutex_lock (&connections->lock);
-  connections->ending = true;
+  connections->closing_idle = true;
   for (const GList *l = connections->open.head; l != NULL; l = l->next)
-    end_if_idle (l->data);
+    close_if_idle (l->data);
   g_mutex_unlock (&connections->lock);
 }
 
--- a/net/http_exchange.c
+++ b/net/http_exchange.c
@@ -6,12 +6,13 @@
 #include <semaphore.h>
 #include <time.h>
 
-#define IDLE_S 10 /* a thread without work ends after this */
+#define THREAD_IDLE_TIMEOUT_S 10 /* a thread idle for this time exits */
 
-/* Semaphores and no conditions: a waker holds no lock that the woken thread would then wait for. */
+/* Uses a semaphore instead of a condition: the thread that posts holds no lock for which the woken
+ * thread would have to wait. */
 struct worker
 {
-  struct job *job; /* handed over by the semaphore */
+  struct exchange *exchange; /* set before the semaphore is posted */
   sem_t wake;
 };
 
@@ -19,30 +20,31 @@
 {
   struct mt_http_client *client;
   const struct mt_clock *clock;
-  unsigned limit;
-  size_t memory;
-  GMutex lock; /* guards all below */
-  GQueue idle; /* of struct worker, the last used first: its cache is warm, the rest may end */
-  unsigned n;  /* threads */
+  unsigned max_threads;
+  size_t max_memory_bytes;
+  GMutex lock; /* guards the fields below */
+  GQueue
+      idle; /* of struct worker, most recently used first: its cache is warm, the others may exit */
+  unsigned n_threads; /* threads */
   bool stopping;
-  GCond ended;
+  GCond thread_ended;
 };
 
-enum job_state
+enum exchange_state
 {
-  JOB_RUNNING,
-  JOB_FINISHED,  /* in time: the caller frees it */
-  JOB_ABANDONED, /* given up on: the thread frees it */
+  EXCHANGE_RUNNING,
+  EXCHANGE_FINISHED,  /* before the deadline: the caller frees it */
+  EXCHANGE_ABANDONED, /* after the deadline: the thread frees it */
 };
 
-struct job
+struct exchange
 {
   struct mt_http_exchanges *exchanges;
   struct mt_arena *arena; /* holds the copied call and the answer */
   const char *address;
   struct mt_http_call call;
-  struct mt_http_completion ended;
-  int state; /* enum job_state, atomic; whoever leaves JOB_RUNNING first decides */
+  struct mt_http_completion completion;
+  int state; /* enum exchange_state, atomic; the first change from EXCHANGE_RUNNING is final */
   sem_t finished;
   enum mt_http_outcome outcome;
   struct mt_http_answer answer;
@@ -50,128 +52,130 @@
 };
 
 static void
-free_job (struct job *job)
+free_exchange (struct exchange *exchange)
 {
-  sem_destroy (&job->finished);
-  g_clear_error (&job->error);
-  mt_arena_destroy (job->arena);
-  g_free (job);
+  sem_destroy (&exchange->finished);
+  g_clear_error (&exchange->error);
+  mt_arena_destroy (exchange->arena);
+  g_free (exchange);
 }
 
 static bool
-copy_headers (struct job *job, const struct mt_http_call *call)
+copy_headers (struct exchange *exchange, const struct mt_http_call *call)
 {
   struct mt_http_header *headers
-      = mt_arena_alloc (job->arena, (call->n_headers + 1) * sizeof *headers);
+      = mt_arena_alloc (exchange->arena, (call->n_headers + 1) * sizeof *headers);
 
   if (headers == NULL)
     return false;
   for (size_t i = 0; i < call->n_headers; i++)
     {
-      headers[i].name = mt_arena_dup (job->arena, call->headers[i].name);
-      headers[i].value = mt_arena_dup (job->arena, call->headers[i].value);
+      headers[i].name = mt_arena_dup (exchange->arena, call->headers[i].name);
+      headers[i].value = mt_arena_dup (exchange->arena, call->headers[i].value);
       if (headers[i].name.data == NULL || headers[i].value.data == NULL)
         return false;
     }
-  job->call.headers = headers;
+  exchange->call.headers = headers;
   return true;
 }
 
 static bool
-copy_call (struct job *job, const char *address, const struct mt_http_call *call)
+copy_call (struct exchange *exchange, const char *address, const struct mt_http_call *call)
 {
-  job->call = *call;
-  job->address = mt_arena_dup (job->arena, mt_str_from (address)).data;
-  job->call.method = mt_arena_dup (job->arena, mt_str_from (call->method)).data;
-  job->call.path = mt_arena_dup (job->arena, mt_str_from (call->path)).data;
-  job->call.body = mt_arena_dup (job->arena, call->body);
-  job->call.id = mt_arena_dup (job->arena, call->id);
-  return job->address != NULL && job->call.method != NULL && job->call.path != NULL
-         && job->call.body.data != NULL && job->call.id.data != NULL && copy_headers (job, call);
+  exchange->call = *call;
+  exchange->address = mt_arena_dup (exchange->arena, mt_str_from (address)).data;
+  exchange->call.method = mt_arena_dup (exchange->arena, mt_str_from (call->method)).data;
+  exchange->call.path = mt_arena_dup (exchange->arena, mt_str_from (call->path)).data;
+  exchange->call.body = mt_arena_dup (exchange->arena, call->body);
+  exchange->call.id = mt_arena_dup (exchange->arena, call->id);
+  return exchange->address != NULL && exchange->call.method != NULL && exchange->call.path != NULL
+         && exchange->call.body.data != NULL && exchange->call.id.data != NULL
+         && copy_headers (exchange, call);
 }
 
-static struct job *
-make_job (struct mt_http_exchanges *exchanges,
-          const char *address,
-          const struct mt_http_call *call,
-          struct mt_http_completion ended)
+static struct exchange *
+create_exchange (struct mt_http_exchanges *exchanges,
+                 const char *address,
+                 const struct mt_http_call *call,
+                 struct mt_http_completion completion)
 {
-  struct job *job = g_new0 (struct job, 1);
-
-  sem_init (&job->finished, 0, 0);
-  job->exchanges = exchanges;
-  job->ended = ended;
-  job->arena = mt_arena_create (exchanges->memory);
-  if (copy_call (job, address, call))
-    return job;
-  free_job (job);
+  struct exchange *exchange = g_new0 (struct exchange, 1);
+
+  sem_init (&exchange->finished, 0, 0);
+  exchange->exchanges = exchanges;
+  exchange->completion = completion;
+  exchange->arena = mt_arena_create (exchanges->max_memory_bytes);
+  if (copy_call (exchange, address, call))
+    return exchange;
+  free_exchange (exchange);
   return NULL;
 }
 
-/* True where this side was first to end the job. */
+/* Returns true if this thread was the first to end the exchange. */
 static bool
-leave_running (struct job *job, enum job_state state)
+end_exchange (struct exchange *exchange, enum exchange_state state)
 {
-  int running = JOB_RUNNING;
+  int running = EXCHANGE_RUNNING;
 
-  return __atomic_compare_exchange_n (&job->state, &running, state, false, __ATOMIC_ACQ_REL,
+  return __atomic_compare_exchange_n (&exchange->state, &running, state, false, __ATOMIC_ACQ_REL,
                                       __ATOMIC_ACQUIRE);
 }
 
 static void
-run_job (struct job *job)
+run_exchange (struct exchange *exchange)
 {
-  job->outcome = mt_http_client_call (job->exchanges->client, job->address, &job->call, job->arena,
-                                      &job->answer, &job->error);
-  job->ended.call (job->ended.ctx, job->outcome, &job->answer);
-  if (leave_running (job, JOB_FINISHED))
-    sem_post (&job->finished);
+  exchange->outcome
+      = mt_http_client_call (exchange->exchanges->client, exchange->address, &exchange->call,
+                             exchange->arena, &exchange->answer, &exchange->error);
+  exchange->completion.call (exchange->completion.ctx, exchange->outcome, &exchange->answer);
+  if (end_exchange (exchange, EXCHANGE_FINISHED))
+    sem_post (&exchange->finished);
   else
-    free_job (job);
+    free_exchange (exchange);
 }
 
-/* False where none came for long. */
+/* Returns false if the semaphore was not posted within timeout_us. */
 static bool
-wait_for (sem_t *sem, int64_t for_us)
+wait_timed (sem_t *sem, int64_t timeout_us)
 {
-  struct timespec until;
+  struct timespec deadline;
   int rc;
 
-  clock_gettime (CLOCK_MONOTONIC, &until);
-  until.tv_sec += for_us / MT_SECOND;
-  until.tv_nsec += for_us % MT_SECOND * 1000;
-  if (until.tv_nsec >= 1000000000)
+  clock_gettime (CLOCK_MONOTONIC, &deadline);
+  deadline.tv_sec += timeout_us / MT_SECOND;
+  deadline.tv_nsec += timeout_us % MT_SECOND * 1000;
+  if (deadline.tv_nsec >= 1000000000)
     {
-      until.tv_sec++;
-      until.tv_nsec -= 1000000000;
+      deadline.tv_sec++;
+      deadline.tv_nsec -= 1000000000;
     }
   do
-    rc = sem_clockwait (sem, CLOCK_MONOTONIC, &until);
+    rc = sem_clockwait (sem, CLOCK_MONOTONIC, &deadline);
   while (rc != 0 && errno == EINTR);
   return rc == 0;
 }
 
 static void
-wait_surely (sem_t *sem)
+wait_untimed (sem_t *sem)
 {
   while (sem_wait (sem) != 0)
     ;
 }
 
-/* True where the thread is to end; false where a job was being handed over just now. */
+/* Returns true if the worker can exit; false if an exchange has just been assigned to it. */
 static bool
-leave_idle (struct mt_http_exchanges *exchanges, struct worker *worker)
+remove_idle (struct mt_http_exchanges *exchanges, struct worker *worker)
 {
-  bool left;
+  bool removed;
 
   g_mutex_lock (&exchanges->lock);
-  left = g_queue_remove (&exchanges->idle, worker);
+  removed = g_queue_remove (&exchanges->idle, worker);
   g_mutex_unlock (&exchanges->lock);
-  return left;
+  return removed;
 }
 
 static bool
-wait_for_job (struct mt_http_exchanges *exchanges, struct worker *worker)
+wait_for_exchange (struct mt_http_exchanges *exchanges, struct worker *worker)
 {
   bool stopping;
 
@@ -182,45 +186,45 @@
   g_mutex_unlock (&exchanges->lock);
   if (stopping)
     return false;
-  if (!wait_for (&worker->wake, IDLE_S * MT_SECOND))
+  if (!wait_timed (&worker->wake, THREAD_IDLE_TIMEOUT_S * MT_SECOND))
     {
-      if (leave_idle (exchanges, worker))
+      if (remove_idle (exchanges, worker))
         return false;
-      wait_surely (&worker->wake);
+      wait_untimed (&worker->wake);
     }
-  return worker->job != NULL;
+  return worker->exchange != NULL;
 }
 
 static gpointer
 run_worker (gpointer data)
 {
   struct worker *worker = data;
-  struct mt_http_exchanges *exchanges = worker->job->exchanges;
+  struct mt_http_exchanges *exchanges = worker->exchange->exchanges;
 
   do
-    run_job (g_steal_pointer (&worker->job));
-  while (wait_for_job (exchanges, worker));
+    run_exchange (g_steal_pointer (&worker->exchange));
+  while (wait_for_exchange (exchanges, worker));
   sem_destroy (&worker->wake);
   g_free (worker);
   g_mutex_lock (&exchanges->lock);
-  exchanges->n--;
-  g_cond_signal (&exchanges->ended);
+  exchanges->n_threads--;
+  g_cond_signal (&exchanges->thread_ended);
   g_mutex_unlock (&exchanges->lock);
   return NULL;
 }
 
-/* The lock is held. */
+/* The caller holds the lock. */
 static bool
-start_worker (struct mt_http_exchanges *exchanges, struct job *job)
+start_worker (struct mt_http_exchanges *exchanges, struct exchange *exchange)
 {
   struct worker *worker;
   GThread *thread;
 
-  if (exchanges->n >= exchanges->limit)
+  if (exchanges->n_threads >= exchanges->max_threads)
     return false;
   worker = g_new0 (struct worker, 1);
   sem_init (&worker->wake, 0, 0);
-  worker->job = job;
+  worker->exchange = exchange;
   thread = g_thread_try_new ("exchange", run_worker, worker, NULL);
   if (thread == NULL)
     {
@@ -229,12 +233,12 @@
       return false;
     }
   g_thread_unref (thread);
-  exchanges->n++;
+  exchanges->n_threads++;
   return true;
 }
 
 static bool
-hand_over (struct mt_http_exchanges *exchanges, struct job *job)
+start_exchange (struct mt_http_exchanges *exchanges, struct exchange *exchange)
 {
   struct worker *worker;
   bool ok = true;
@@ -242,49 +246,52 @@
   g_mutex_lock (&exchanges->lock);
   worker = g_queue_pop_head (&exchanges->idle);
   if (worker == NULL)
-    ok = start_worker (exchanges, job);
+    ok = start_worker (exchanges, exchange);
   g_mutex_unlock (&exchanges->lock);
   if (worker != NULL)
     {
-      worker->job = job;
+      worker->exchange = exchange;
       sem_post (&worker->wake);
     }
   return ok;
 }
 
-/* True where it ended in time; otherwise the thread owns the job from now on. */
+/* Returns true if the exchange ended in time; otherwise its thread owns it from now on. */
 static bool
-wait_until_deadline (const struct mt_http_exchanges *exchanges, struct job *job)
+wait_until_deadline (const struct mt_http_exchanges *exchanges, struct exchange *exchange)
 {
-  int64_t left = job->call.deadline_us - mt_clock_now (exchanges->clock);
+  int64_t remaining_us = exchange->call.deadline_us - mt_clock_now (exchanges->clock);
 
-  if (wait_for (&job->finished, MAX (left, 0)))
+  if (wait_timed (&exchange->finished, MAX (remaining_us, 0)))
     return true;
-  if (leave_running (job, JOB_ABANDONED))
+  if (end_exchange (exchange, EXCHANGE_ABANDONED))
     return false;
-  wait_surely (&job->finished);
+  wait_untimed (&exchange->finished);
   return true;
 }
 
 static enum mt_http_outcome
-take_answer (struct job *job, struct mt_arena *arena, struct mt_http_answer *answer, GError **error)
+take_result (struct exchange *exchange,
+             struct mt_arena *arena,
+             struct mt_http_answer *answer,
+             GError **error)
 {
-  enum mt_http_outcome outcome = job->outcome;
+  enum mt_http_outcome outcome = exchange->outcome;
 
   if (outcome != MT_HTTP_COMPLETE)
-    g_propagate_error (error, g_steal_pointer (&job->error));
-  else if (mt_arena_adopt (arena, job->arena))
+    g_propagate_error (error, g_steal_pointer (&exchange->error));
+  else if (mt_arena_adopt (arena, exchange->arena))
     {
-      *answer = job->answer;
-      job->arena = NULL;
+      *answer = exchange->answer;
+      exchange->arena = NULL;
     }
   else
     {
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
-                   "the answer passes the memory of a request; lower limits.answer_bytes");
+                   "the answer exceeds the memory limit of a request; lower limits.answer_bytes");
       outcome = MT_HTTP_UNKNOWN;
     }
-  free_job (job);
+  free_exchange (exchange);
   return outcome;
 }
 
@@ -292,16 +299,16 @@
 mt_http_exchanges_create (struct mt_http_client *client,
                           const struct mt_clock *clock,
                           unsigned threads,
-                          size_t memory)
+                          size_t max_memory_bytes)
 {
   struct mt_http_exchanges *exchanges = g_new0 (struct mt_http_exchanges, 1);
 
   exchanges->client = client;
   exchanges->clock = clock;
-  exchanges->limit = threads;
-  exchanges->memory = memory;
+  exchanges->max_threads = threads;
+  exchanges->max_memory_bytes = max_memory_bytes;
   g_mutex_init (&exchanges->lock);
-  g_cond_init (&exchanges->ended);
+  g_cond_init (&exchanges->thread_ended);
   g_queue_init (&exchanges->idle);
   return exchanges;
 }
@@ -317,11 +324,11 @@
   exchanges->stopping = true;
   while ((worker = g_queue_pop_head (&exchanges->idle)) != NULL)
     sem_post (&worker->wake);
-  while (exchanges->n > 0)
-    g_cond_wait (&exchanges->ended, &exchanges->lock);
+  while (exchanges->n_threads > 0)
+    g_cond_wait (&exchanges->thread_ended, &exchanges->lock);
   g_mutex_unlock (&exchanges->lock);
   g_mutex_clear (&exchanges->lock);
-  g_cond_clear (&exchanges->ended);
+  g_cond_clear (&exchanges->thread_ended);
   g_free (exchanges);
 }
 
@@ -329,25 +336,25 @@
 mt_http_exchanges_call (struct mt_http_exchanges *exchanges,
                         const char *address,
                         const struct mt_http_call *call,
-                        struct mt_http_completion ended,
+                        struct mt_http_completion completion,
                         struct mt_arena *arena,
                         struct mt_http_answer *answer,
                         GError **error)
 {
-  struct job *job = make_job (exchanges, address, call, ended);
+  struct exchange *exchange = create_exchange (exchanges, address, call, completion);
 
   *answer = (struct mt_http_answer){ 0 };
-  if (job == NULL || !hand_over (exchanges, job))
+  if (exchange == NULL || !start_exchange (exchanges, exchange))
     {
-      if (job != NULL)
-        free_job (job);
-      ended.call (ended.ctx, MT_HTTP_NOT_SENT, answer);
+      if (exchange != NULL)
+        free_exchange (exchange);
+      completion.call (completion.ctx, MT_HTTP_NOT_SENT, answer);
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
-                   "no memory or thread left for the exchange; raise limits.connections");
+                   "no free memory or thread for the call; raise limits.connections");
       return MT_HTTP_NOT_SENT;
     }
-  if (wait_until_deadline (exchanges, job))
-    return take_answer (job, arena, answer, error);
+  if (wait_until_deadline (exchanges, exchange))
+    return take_result (exchange, arena, answer, error);
   g_set_error (error, MT_ERROR, MT_ERROR_TIMEOUT,
                "no answer by the deadline; see the minion's log or raise the route's deadline_ms");
   return MT_HTTP_UNKNOWN;
--- a/net/http_front.c
+++ b/net/http_front.c
@@ -9,10 +9,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Digits of the seconds in Retry-After, and its end. */
-#define RETRY_HEADER_CHARS 16
-#define CONNECTION_MEMORY  (16 * 1024)
-/* First line and headers of a request; status line and headers of an answer. */
+/* Digits of the seconds in Retry-After, and the terminating NUL. */
+#define RETRY_HEADER_CHARS      16
+#define CONNECTION_MEMORY_BYTES (16 * 1024)
+/* Estimates for the traffic counters: first line and headers of a request and of an answer. */
 #define REQUEST_HEAD_BYTES 200U
 #define ANSWER_HEAD_BYTES  140U
 
@@ -23,11 +23,11 @@
   const char *method;
   const char *path;
   GString *body;
-  int64_t began;
-  bool too_long;
-  bool handed;    /* to the owner */
-  bool suspended; /* until it is answered */
-  GList link;     /* among the suspended ones */
+  int64_t started_ms;
+  bool body_too_long;
+  bool handled;   /* the handler was called */
+  bool suspended; /* waits for its answer */
+  GList link;     /* in the front's queue of suspended exchanges */
   struct MHD_Response *response;
   unsigned status;
 };
@@ -36,18 +36,18 @@
 {
   struct event_base *base;
   struct MHD_Daemon *daemon;
-  struct event *readable;
+  struct event *readable_event;
   struct event *timer;
   mt_http_front_handler handle;
   void *ctx;
-  size_t body_bytes;
+  size_t max_body_bytes;
   const char *kind;
   struct mt_traffic *traffic;
-  GQueue suspended; /* struct mt_exchange */
-  unsigned busy;
+  GQueue suspended; /* of struct mt_exchange */
+  unsigned in_flight;
   bool closing;
   bool running;
-  bool again;
+  bool rerun;
 };
 
 static int64_t
@@ -89,29 +89,29 @@
 int64_t
 mt_exchange_started_ms (const struct mt_exchange *exchange)
 {
-  return exchange->began;
+  return exchange->started_ms;
 }
 
-/* libmicrohttpd does its work in here; what it calls may answer exchanges, which needs another
- * round. */
+/* Lets libmicrohttpd process its connections. Its callbacks may answer exchanges, which requires
+ * another pass. */
 static void
-run (struct mt_http_front *front)
+run_daemon (struct mt_http_front *front)
 {
   MHD_UNSIGNED_LONG_LONG wait = 0;
   struct timeval limit;
 
   if (front->running)
     {
-      front->again = true;
+      front->rerun = true;
       return;
     }
   front->running = true;
   do
     {
-      front->again = false;
+      front->rerun = false;
       MHD_run (front->daemon);
     }
-  while (front->again);
+  while (front->rerun);
   front->running = false;
   if (MHD_get_timeout (front->daemon, &wait) != MHD_YES)
     {
@@ -125,7 +125,7 @@
 static void
 on_event (evutil_socket_t fd, short what, void *ctx)
 {
-  run (ctx);
+  run_daemon (ctx);
 }
 
 static void
@@ -167,8 +167,8 @@
   exchange->suspended = false;
   g_queue_unlink (&exchange->front->suspended, &exchange->link);
   MHD_resume_connection (exchange->connection);
-  /* Several answers may come in one turn of the loop; libmicrohttpd runs once after them. */
-  event_active (exchange->front->readable, EV_TIMEOUT, 0);
+  /* libmicrohttpd runs once after all answers that are given in one iteration of the loop. */
+  event_active (exchange->front->readable_event, EV_TIMEOUT, 0);
 }
 
 static enum MHD_Result
@@ -178,7 +178,7 @@
 }
 
 static enum MHD_Result
-too_long (struct mt_exchange *exchange)
+answer_too_long (struct mt_exchange *exchange)
 {
   mt_exchange_answer (exchange, MHD_HTTP_CONTENT_TOO_LARGE, "text/plain",
                       MT_STR ("body too long\n"), 0);
@@ -204,8 +204,8 @@
       exchange->front = front;
       exchange->connection = connection;
       exchange->body = g_string_sized_new (0);
-      exchange->began = now_ms ();
-      front->busy++;
+      exchange->started_ms = now_ms ();
+      front->in_flight++;
       *state = exchange;
       return MHD_YES;
     }
@@ -213,18 +213,18 @@
   exchange->method = method;
   if (*data_len > 0)
     {
-      if (exchange->body->len + *data_len > front->body_bytes)
-        exchange->too_long = true;
+      if (exchange->body->len + *data_len > front->max_body_bytes)
+        exchange->body_too_long = true;
       else
         g_string_append_len (exchange->body, data, (gssize) *data_len);
       *data_len = 0;
       return MHD_YES;
     }
-  if (exchange->too_long)
-    return exchange->response != NULL ? MHD_YES : too_long (exchange);
-  if (!exchange->handed)
+  if (exchange->body_too_long)
+    return exchange->response != NULL ? MHD_YES : answer_too_long (exchange);
+  if (!exchange->handled)
     {
-      exchange->handed = true;
+      exchange->handled = true;
       mt_traffic_add_received (front->traffic, front->kind,
                                REQUEST_HEAD_BYTES + exchange->body->len);
       front->handle (front->ctx, exchange);
@@ -244,14 +244,14 @@
 on_completed (void *ctx,
               struct MHD_Connection *connection,
               void **state,
-              enum MHD_RequestTerminationCode how)
+              enum MHD_RequestTerminationCode code)
 {
   struct mt_http_front *front = ctx;
   struct mt_exchange *exchange = *state;
 
   if (exchange == NULL)
     return;
-  front->busy--;
+  front->in_flight--;
   free_exchange (exchange);
   *state = NULL;
 }
@@ -268,7 +268,7 @@
   front->base = base;
   front->handle = options->handle;
   front->ctx = options->ctx;
-  front->body_bytes = options->max_body_bytes;
+  front->max_body_bytes = options->max_body_bytes;
   front->kind = options->kind;
   front->traffic = options->traffic;
   if (mt_address_parse (options->address, &address, error))
@@ -276,22 +276,22 @@
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, front,
         MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_NOTIFY_COMPLETED, on_completed, front,
         MHD_OPTION_CONNECTION_LIMIT, options->max_connections, MHD_OPTION_CONNECTION_TIMEOUT,
-        options->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY,
-        MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
+        options->idle_timeout_s, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+        (size_t) CONNECTION_MEMORY_BYTES, MHD_OPTION_LISTEN_BACKLOG_SIZE, 1024U, MHD_OPTION_END);
   if (front->daemon == NULL)
     {
       if (error != NULL && *error == NULL)
         g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS,
-                     "can't listen on %s; see whether another process has the port",
+                     "can't listen on %s; check that no other process uses the port",
                      options->address);
       g_free (front);
       return NULL;
     }
   info = MHD_get_daemon_info (front->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-  front->readable = event_new (base, info->epoll_fd, EV_READ | EV_PERSIST, on_event, front);
+  front->readable_event = event_new (base, info->epoll_fd, EV_READ | EV_PERSIST, on_event, front);
   front->timer = event_new (base, -1, 0, on_event, front);
-  event_add (front->readable, NULL);
-  run (front);
+  event_add (front->readable_event, NULL);
+  run_daemon (front);
   return front;
 }
 
@@ -310,7 +310,7 @@
 unsigned
 mt_http_front_in_flight (const struct mt_http_front *front)
 {
-  return front->busy;
+  return front->in_flight;
 }
 
 void
@@ -321,8 +321,8 @@
   while (!g_queue_is_empty (&front->suspended))
     mt_exchange_answer (g_queue_peek_head (&front->suspended), MHD_HTTP_SERVICE_UNAVAILABLE, NULL,
                         (struct mt_str){ "", 0 }, 1);
-  run (front);
-  event_free (front->readable);
+  run_daemon (front);
+  event_free (front->readable_event);
   event_free (front->timer);
   MHD_stop_daemon (front->daemon);
   g_free (front);
--- a/net/http_front.h
+++ b/net/http_front.h
@@ -1,6 +1,6 @@
-/* HTTP towards callers on the loop's one thread: libmicrohttpd without threads of its own. A
- * request is handed over whole and answered when the owner is ready, in any order. All functions
- * and callbacks on the loop's thread. */
+/* HTTP server for callers on the loop's thread: libmicrohttpd without threads of its own. The
+ * handler gets complete requests, which may be answered later and in any order. All functions and
+ * callbacks run on the loop's thread. */
 #ifndef MT_HTTP_FRONT_H
 #define MT_HTTP_FRONT_H
 
@@ -14,19 +14,20 @@
 struct mt_http_front;
 struct mt_traffic;
 
-/* One request; lives from the handler's call to its answer. */
+/* One request; valid from the handler's call until it is answered. */
 struct mt_exchange;
 
 const char *mt_exchange_method (const struct mt_exchange *exchange);
 const char *mt_exchange_path (const struct mt_exchange *exchange);
-/* NULL where it has none. */
+/* Returns NULL if the request has no such header. */
 const char *mt_exchange_header (const struct mt_exchange *exchange, const char *name);
-/* Of the query; NULL where it has none of that name. */
+/* Returns a query argument; NULL if there is none of that name. */
 const char *mt_exchange_query (const struct mt_exchange *exchange, const char *name);
 struct mt_str mt_exchange_body (const struct mt_exchange *exchange);
+/* When the request began to arrive, in ms of the monotonic clock. */
 int64_t mt_exchange_started_ms (const struct mt_exchange *exchange);
 
-/* body is copied. retry_after_s: 0 for none. Ends the exchange. */
+/* Answers the request, which ends the exchange. body is copied. retry_after_s: 0 for none. */
 void mt_exchange_answer (struct mt_exchange *exchange,
                          unsigned status,
                          const char *content_type,
@@ -37,11 +38,11 @@
 
 struct mt_http_front_options
 {
-  const char *address; /* IP:PORT; port 0 takes a free one */
+  const char *address; /* IP:PORT; port 0 selects a free one */
   unsigned max_connections;
   unsigned idle_timeout_s;
-  size_t max_body_bytes;      /* longest request body; beyond it 413 */
-  const char *kind;           /* a constant: what its requests count as in the traffic */
+  size_t max_body_bytes;      /* a longer request body is answered with 413 */
+  const char *kind;           /* traffic counter of the requests; a constant string */
   struct mt_traffic *traffic; /* NULL for none */
   mt_http_front_handler handle;
   void *ctx;
@@ -51,11 +52,11 @@
                                             const struct mt_http_front_options *options,
                                             GError **error);
 unsigned mt_http_front_port (const struct mt_http_front *front);
-/* Every answer from now on says "Connection: close". */
+/* Adds "Connection: close" to every answer from now on. */
 void mt_http_front_close_after_answers (struct mt_http_front *front);
-/* Exchanges not answered yet, and answered ones not fully sent. */
+/* Number of requests not answered yet, or whose answer is not fully sent. */
 unsigned mt_http_front_in_flight (const struct mt_http_front *front);
-/* What is not answered yet is answered with 503. */
+/* Answers pending requests with 503. */
 void mt_http_front_destroy (struct mt_http_front *front);
 
 #endif
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -13,8 +13,9 @@
 #include <unistd.h>
 
 #define MAX_REQUEST_HEADERS 64
-#define CONNECTION_MEMORY   (32 * 1024) /* request line and headers; beyond it 431 */
-#define THREAD_STACK        (256 * 1024)
+#define CONNECTION_MEMORY_BYTES                                                                    \
+  (32 * 1024) /* for request line and headers; longer ones are answered with 431 */
+#define THREAD_STACK_BYTES (256 * 1024)
 
 struct mt_http_server
 {
@@ -27,110 +28,113 @@
 
 struct incoming;
 
-/* One open connection; belongs to its thread. */
+/* One open connection; used only by its thread. */
 struct caller
 {
   struct mt_http_connection *connection;
-  struct incoming *in; /* the request on its way in, or NULL */
+  struct incoming *incoming; /* request being received or handled; NULL if there is none */
 };
 
-/* One request on its way in; belongs to its connection's thread. */
+/* One request being received or handled; used only by its connection's thread. */
 struct incoming
 {
   struct mt_http_request request;
   struct caller *caller;
   GString *body;
-  bool too_long;
-  bool refused;
+  bool body_too_long;
+  bool rejected;
 };
 
-struct header_sink
+struct header_collector
 {
-  struct incoming *in;
+  struct incoming *incoming;
   bool overflow;
   bool malformed;
-  unsigned lengths;
-  unsigned codings;
+  unsigned n_content_lengths;
+  unsigned n_transfer_encodings;
 };
 
 static enum MHD_Result
-take_header (void *ctx,
-             enum MHD_ValueKind kind,
-             const char *name,
-             size_t name_len,
-             const char *value,
-             size_t value_len)
+collect_header (void *ctx,
+                enum MHD_ValueKind kind,
+                const char *name,
+                size_t name_len,
+                const char *value,
+                size_t value_len)
 {
-  struct header_sink *sink = ctx;
-  struct mt_http_request *request = &sink->in->request;
+  struct header_collector *collector = ctx;
+  struct mt_http_request *request = &collector->incoming->request;
   struct mt_http_header *header;
 
   if (request->n_headers == MAX_REQUEST_HEADERS)
     {
-      sink->overflow = true;
+      collector->overflow = true;
       return MHD_NO;
     }
   header = &request->headers[request->n_headers++];
   header->name = mt_arena_dup (request->arena, (struct mt_str){ name, name_len });
   header->value = mt_arena_dup (request->arena, (struct mt_str){ value, value_len });
-  sink->overflow = header->name.data == NULL || header->value.data == NULL;
-  if (sink->overflow)
+  collector->overflow = header->name.data == NULL || header->value.data == NULL;
+  if (collector->overflow)
     return MHD_NO;
-  sink->malformed = sink->malformed || !mt_http_is_token (header->name)
-                    || !mt_http_is_header_value (header->value);
-  sink->lengths += mt_str_equal_nocase (header->name, MT_STR ("Content-Length")) ? 1 : 0;
-  sink->codings += mt_str_equal_nocase (header->name, MT_STR ("Transfer-Encoding")) ? 1 : 0;
+  collector->malformed = collector->malformed || !mt_http_is_token (header->name)
+                         || !mt_http_is_header_value (header->value);
+  collector->n_content_lengths
+      += mt_str_equal_nocase (header->name, MT_STR ("Content-Length")) ? 1 : 0;
+  collector->n_transfer_encodings
+      += mt_str_equal_nocase (header->name, MT_STR ("Transfer-Encoding")) ? 1 : 0;
   return MHD_YES;
 }
 
-/* Called before the URI is split, so that the query reaches the minion as it was sent. */
+/* Called before libmicrohttpd splits the URI, so that the query reaches the minion unchanged. */
 static void *
-begin_request (void *ctx, const char *uri, struct MHD_Connection *connection)
+on_request_started (void *ctx, const char *uri, struct MHD_Connection *connection)
 {
   struct mt_http_server *server = ctx;
-  struct incoming *in = g_new0 (struct incoming, 1);
+  struct incoming *incoming = g_new0 (struct incoming, 1);
 
-  in->request.arena = mt_arena_create (server->options.max_request_memory_bytes);
-  in->request.path = mt_arena_dup (in->request.arena, mt_str_from (uri));
-  in->caller
+  incoming->request.arena = mt_arena_create (server->options.max_request_memory_bytes);
+  incoming->request.path = mt_arena_dup (incoming->request.arena, mt_str_from (uri));
+  incoming->caller
       = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT)->socket_context;
-  in->caller->in = in;
-  mt_http_connections_set_phase (server->connections, in->caller->connection,
+  incoming->caller->incoming = incoming;
+  mt_http_connections_set_phase (server->connections, incoming->caller->connection,
                                  MT_HTTP_PHASE_RECEIVING);
-  in->request.fd
+  incoming->request.fd
       = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
-  in->body = g_string_new (NULL);
-  return in;
+  incoming->body = g_string_new (NULL);
+  return incoming;
 }
 
 static void
-free_incoming (struct incoming *in)
+free_incoming (struct incoming *incoming)
 {
-  g_string_free (in->body, TRUE);
-  mt_arena_destroy (in->request.arena);
-  g_free (in);
+  g_string_free (incoming->body, TRUE);
+  mt_arena_destroy (incoming->request.arena);
+  g_free (incoming);
 }
 
 static void
-end_request (void *ctx,
-             struct MHD_Connection *connection,
-             void **con_cls,
-             enum MHD_RequestTerminationCode how)
+on_request_completed (void *ctx,
+                      struct MHD_Connection *connection,
+                      void **con_cls,
+                      enum MHD_RequestTerminationCode code)
 {
   struct mt_http_server *server = ctx;
-  struct incoming *in = *con_cls;
+  struct incoming *incoming = *con_cls;
 
-  if (in == NULL)
+  if (incoming == NULL)
     return;
-  mt_http_connections_set_phase (server->connections, in->caller->connection, MT_HTTP_PHASE_IDLE);
-  in->caller->in = NULL;
-  free_incoming (in);
+  mt_http_connections_set_phase (server->connections, incoming->caller->connection,
+                                 MT_HTTP_PHASE_IDLE);
+  incoming->caller->incoming = NULL;
+  free_incoming (incoming);
   *con_cls = NULL;
 }
 
-/* Never called: libmicrohttpd sends the length of an answer to HEAD and asks for no body. */
+/* Never called: for an answer to HEAD libmicrohttpd uses only the length. */
 static ssize_t
-read_nothing (void *ctx, uint64_t pos, char *buf, size_t max)
+read_no_body (void *ctx, uint64_t pos, char *buf, size_t max)
 {
   return MHD_CONTENT_READER_END_WITH_ERROR;
 }
@@ -139,7 +143,7 @@
 make_response (const struct mt_http_answer *answer)
 {
   if (answer->content_length > 0)
-    return MHD_create_response_from_callback (answer->content_length, 1, read_nothing, NULL, NULL);
+    return MHD_create_response_from_callback (answer->content_length, 1, read_no_body, NULL, NULL);
   return MHD_create_response_from_buffer (answer->body.len, (void *) answer->body.data,
                                           MHD_RESPMEM_MUST_COPY);
 }
@@ -168,9 +172,9 @@
 }
 
 static enum MHD_Result
-refuse (struct mt_http_server *server,
+reject (struct mt_http_server *server,
         struct MHD_Connection *connection,
-        struct incoming *in,
+        struct incoming *incoming,
         int status,
         const char *reason)
 {
@@ -182,38 +186,38 @@
   };
   struct mt_http_answer answer = { status, headers, G_N_ELEMENTS (headers), mt_str_from (body) };
 
-  in->refused = true;
+  incoming->rejected = true;
   return send_answer (server, connection, &answer);
 }
 
-/* Two lengths, or a length and chunks, are read differently by different servers: a minion would
- * take the rest of one caller's body for the next caller's request. */
+/* Guards against request smuggling: servers differ in how they read two lengths, or a length with
+ * chunks, so a minion could take the rest of one caller's body for the next caller's request. */
 static bool
-is_framed_twice (const struct header_sink *sink)
+has_ambiguous_length (const struct header_collector *collector)
 {
-  return sink->lengths + sink->codings > 1;
+  return collector->n_content_lengths + collector->n_transfer_encodings > 1;
 }
 
-/* NULL where it is a request to go on with; otherwise why not, with the status. */
+/* Returns NULL if the request is acceptable; otherwise the reason, with the status to answer. */
 static const char *
-find_fault (struct mt_http_server *server,
-            const struct incoming *in,
-            const struct header_sink *sink,
-            int *status)
+check_request (struct mt_http_server *server,
+               const struct incoming *incoming,
+               const struct header_collector *collector,
+               int *status)
 {
-  const struct mt_http_request *request = &in->request;
+  const struct mt_http_request *request = &incoming->request;
   struct mt_str length
       = mt_http_header_find (request->headers, request->n_headers, MT_STR ("Content-Length"));
   unsigned long long bytes = 0;
 
   *status = 431;
-  if (sink->overflow || request->path.data == NULL)
+  if (collector->overflow || request->path.data == NULL)
     return "too many headers; send 64 at most";
   *status = 400;
-  if (sink->malformed || !mt_http_is_token (request->method)
+  if (collector->malformed || !mt_http_is_token (request->method)
       || !mt_http_is_request_target (request->path))
     return "malformed request line or header";
-  if (is_framed_twice (sink) || (length.data != NULL && !mt_str_to_u64 (length, &bytes)))
+  if (has_ambiguous_length (collector) || (length.data != NULL && !mt_str_to_u64 (length, &bytes)))
     return "the length of the body is not clear; send one Content-Length or chunks";
   *status = 413;
   if (bytes > server->options.max_body_bytes)
@@ -222,14 +226,14 @@
 }
 
 static enum MHD_Result
-begin_headers (struct mt_http_server *server,
-               struct MHD_Connection *connection,
-               struct incoming *in,
-               const char *method)
+process_headers (struct mt_http_server *server,
+                 struct MHD_Connection *connection,
+                 struct incoming *incoming,
+                 const char *method)
 {
-  struct mt_http_request *request = &in->request;
-  struct header_sink sink = { .in = in };
-  const char *fault;
+  struct mt_http_request *request = &incoming->request;
+  struct header_collector collector = { .incoming = incoming };
+  const char *reason;
   int status;
 
   request->method = mt_arena_dup (request->arena, mt_str_from (method));
@@ -237,9 +241,9 @@
       = mt_arena_alloc (request->arena, MAX_REQUEST_HEADERS * sizeof *request->headers);
   if (request->headers == NULL || request->method.data == NULL)
     return MHD_NO;
-  MHD_get_connection_values_n (connection, MHD_HEADER_KIND, take_header, &sink);
-  fault = find_fault (server, in, &sink, &status);
-  return fault == NULL ? MHD_YES : refuse (server, connection, in, status, fault);
+  MHD_get_connection_values_n (connection, MHD_HEADER_KIND, collect_header, &collector);
+  reason = check_request (server, incoming, &collector, &status);
+  return reason == NULL ? MHD_YES : reject (server, connection, incoming, status, reason);
 }
 
 static enum MHD_Result
@@ -253,33 +257,33 @@
             void **con_cls)
 {
   struct mt_http_server *server = ctx;
-  struct incoming *in = *con_cls;
+  struct incoming *incoming = *con_cls;
 
-  if (in->refused)
+  if (incoming->rejected)
     {
       *upload_size = 0;
       return MHD_YES;
     }
-  if (in->request.method.data == NULL)
-    return begin_headers (server, connection, in, method);
+  if (incoming->request.method.data == NULL)
+    return process_headers (server, connection, incoming, method);
   if (*upload_size > 0)
     {
-      if (in->body->len + *upload_size > server->options.max_body_bytes)
-        in->too_long = true;
+      if (incoming->body->len + *upload_size > server->options.max_body_bytes)
+        incoming->body_too_long = true;
       else
-        g_string_append_len (in->body, upload, (gssize) *upload_size);
+        g_string_append_len (incoming->body, upload, (gssize) *upload_size);
       *upload_size = 0;
       return MHD_YES;
     }
-  if (in->too_long)
-    return refuse (server, connection, in, 413, "body too long; see limits.body_bytes");
-  in->request.body = (struct mt_str){ in->body->str, in->body->len };
-  mt_http_connections_set_phase (server->connections, in->caller->connection,
+  if (incoming->body_too_long)
+    return reject (server, connection, incoming, 413, "body too long; see limits.body_bytes");
+  incoming->request.body = (struct mt_str){ incoming->body->str, incoming->body->len };
+  mt_http_connections_set_phase (server->connections, incoming->caller->connection,
                                  MT_HTTP_PHASE_HANDLING);
-  server->options.handle (server->options.ctx, &in->request);
-  mt_http_connections_set_phase (server->connections, in->caller->connection,
+  server->options.handle (server->options.ctx, &incoming->request);
+  mt_http_connections_set_phase (server->connections, incoming->caller->connection,
                                  MT_HTTP_PHASE_SENDING);
-  return send_answer (server, connection, &in->request.answer);
+  return send_answer (server, connection, &incoming->request.answer);
 }
 
 bool
@@ -309,9 +313,9 @@
       return;
     }
   mt_http_connections_remove (server->connections, caller->connection);
-  /* libmicrohttpd tells of the end only of requests whose headers came in full. */
-  if (caller->in != NULL)
-    free_incoming (caller->in);
+  /* libmicrohttpd reports completion only for requests whose headers were received completely. */
+  if (caller->incoming != NULL)
+    free_incoming (caller->incoming);
   g_free (caller);
 }
 
@@ -331,11 +335,11 @@
       MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL | MHD_USE_ITC,
       0, NULL, NULL, on_request, server, MHD_OPTION_SOCK_ADDR, &addr, MHD_OPTION_CONNECTION_LIMIT,
       options->max_connections, MHD_OPTION_CONNECTION_TIMEOUT, options->idle_timeout_s,
-      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY, MHD_OPTION_THREAD_STACK_SIZE,
-      (size_t) THREAD_STACK, MHD_OPTION_LISTEN_BACKLOG_SIZE, 512U, MHD_OPTION_URI_LOG_CALLBACK,
-      begin_request, server, MHD_OPTION_NOTIFY_COMPLETED, end_request, server,
-      MHD_OPTION_NOTIFY_CONNECTION, on_connection, server, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
-      MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
+      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t) CONNECTION_MEMORY_BYTES,
+      MHD_OPTION_THREAD_STACK_SIZE, (size_t) THREAD_STACK_BYTES, MHD_OPTION_LISTEN_BACKLOG_SIZE,
+      512U, MHD_OPTION_URI_LOG_CALLBACK, on_request_started, server, MHD_OPTION_NOTIFY_COMPLETED,
+      on_request_completed, server, MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
+      MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_END);
   if (server->mhd == NULL)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS,
@@ -355,10 +359,9 @@
   return server->port;
 }
 
-/* Connections that the kernel has set up and nobody accepted yet would be reset with the listener.
- */
+/* Accepts the connections in the kernel's queue, which closing the listener would reset. */
 static void
-accept_rest (struct mt_http_server *server, MHD_socket listener)
+accept_queued (struct mt_http_server *server, MHD_socket listener)
 {
   struct sockaddr_in addr;
   socklen_t len = sizeof addr;
@@ -382,10 +385,10 @@
   fd = MHD_quiesce_daemon (server->mhd);
   if (fd != MHD_INVALID_SOCKET)
     {
-      accept_rest (server, fd);
+      accept_queued (server, fd);
       close (fd);
     }
-  mt_http_connections_end_idle (server->connections);
+  mt_http_connections_close_idle (server->connections);
   mt_http_connections_wait_idle (server->connections);
 }
 
--- a/net/mesh.c
+++ b/net/mesh.c
@@ -18,18 +18,18 @@
 
 #define MAX_QUEUED_BYTES (4 * 1024 * 1024)
 
-/* One connection, opened by either side; a link to a peer is one that this side opened. Counted:
- * the mesh's reference, and one for each call received and not replied to. */
+/* One connection, opened by either side. Reference counted: the mesh holds one reference, and each
+ * received call one until it is replied to. */
 struct link
 {
   struct mt_mesh *mesh;
   struct bufferevent *bev;
-  char *address; /* NULL for an accepted one */
-  GList all;
+  char *address; /* of the peer; NULL if the peer opened the connection */
+  GList node;
   bool closed;
 };
 
-struct waiting
+struct pending_call
 {
   struct mt_mesh *mesh;
   enum mt_mesh_method method;
@@ -55,9 +55,9 @@
   char *name;
   mt_mesh_handler handler;
   void *ctx;
-  GHashTable *links; /* address to struct link, those opened here */
-  GQueue all;
-  GHashTable *waiting; /* id to struct waiting */
+  GHashTable *links;         /* address to struct link, for connections that this side opened */
+  GQueue all_links;          /* of struct link */
+  GHashTable *pending_calls; /* id to struct pending_call */
   uint64_t next_id;
 };
 
@@ -74,15 +74,15 @@
   return method > 0 && method < G_N_ELEMENTS (names) ? names[method] : "other";
 }
 
-/* ---- bytes ---- */
+/* ---- encoding ---- */
 
 static char *
-encode (const struct mt_mesh *mesh,
-        enum mt_peer_type type,
-        uint64_t id,
-        unsigned method,
-        const struct mt_mesh_args *args,
-        size_t *len)
+encode_message (const struct mt_mesh *mesh,
+                enum mt_peer_type type,
+                uint64_t id,
+                unsigned method,
+                const struct mt_mesh_args *args,
+                size_t *len)
 {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
@@ -102,7 +102,10 @@
 }
 
 static bool
-decode (const msgpack_object *root, uint64_t *id, uint64_t *method, struct mt_mesh_args *args)
+decode_message (const msgpack_object *root,
+                uint64_t *id,
+                uint64_t *method,
+                struct mt_mesh_args *args)
 {
   const msgpack_object_array *array = &root->via.array;
 
@@ -143,38 +146,38 @@
   link->closed = true;
   bufferevent_free (link->bev);
   link->bev = NULL;
-  g_queue_unlink (&mesh->all, &link->all);
+  g_queue_unlink (&mesh->all_links, &link->node);
   if (link->address != NULL && g_hash_table_lookup (mesh->links, link->address) == link)
     g_hash_table_remove (mesh->links, link->address);
   unref_link (link);
 }
 
 static void
-answer_waiting (struct waiting *w, const struct mt_mesh_args *args)
+complete_call (struct pending_call *pending, const struct mt_mesh_args *args)
 {
-  mt_mesh_done done = w->done;
-  void *ctx = w->ctx;
+  mt_mesh_done done = pending->done;
+  void *ctx = pending->ctx;
 
-  g_hash_table_remove (w->mesh->waiting, &w->id);
+  g_hash_table_remove (pending->mesh->pending_calls, &pending->id);
   if (done != NULL)
     done (ctx, args);
 }
 
-/* A call without an answer says that the connection may be dead without a reset: it is closed, so
- * that the next call opens one that works. */
+/* After a time-out the connection may be dead without a reset, so it is closed, and the next call
+ * opens a new one. */
 static void
 on_timeout (evutil_socket_t fd, short what, void *ctx)
 {
-  struct waiting *w = ctx;
-  struct link *link = g_hash_table_lookup (w->mesh->links, w->address);
+  struct pending_call *pending = ctx;
+  struct link *link = g_hash_table_lookup (pending->mesh->links, pending->address);
 
   if (link != NULL)
     close_link (link);
-  answer_waiting (w, NULL);
+  complete_call (pending, NULL);
 }
 
 static void
-take_call (struct link *link, uint64_t id, uint64_t method, const struct mt_mesh_args *args)
+handle_call (struct link *link, uint64_t id, uint64_t method, const struct mt_mesh_args *args)
 {
   struct mt_mesh_call *call = g_new0 (struct mt_mesh_call, 1);
 
@@ -186,18 +189,18 @@
 }
 
 static void
-take_reply (struct mt_mesh *mesh, uint64_t id, const struct mt_mesh_args *args, size_t bytes)
+handle_reply (struct mt_mesh *mesh, uint64_t id, const struct mt_mesh_args *args, size_t bytes)
 {
-  struct waiting *w = g_hash_table_lookup (mesh->waiting, &id);
+  struct pending_call *pending = g_hash_table_lookup (mesh->pending_calls, &id);
 
-  if (w == NULL)
+  if (pending == NULL)
     return;
-  mt_traffic_add_received (mesh->traffic, mt_mesh_method_name (w->method), bytes);
-  answer_waiting (w, args);
+  mt_traffic_add_received (mesh->traffic, mt_mesh_method_name (pending->method), bytes);
+  complete_call (pending, args);
 }
 
 static bool
-take_frame (struct link *link, struct mt_str payload)
+handle_frame (struct link *link, struct mt_str payload)
 {
   struct mt_frame frame;
   msgpack_unpacked unpacked;
@@ -207,15 +210,15 @@
 
   if (!mt_frame_decode (payload, &frame, NULL) || !mt_pack_read (frame.body, &unpacked, NULL))
     return false;
-  ok = decode (&unpacked.data, &id, &method, &args);
+  ok = decode_message (&unpacked.data, &id, &method, &args);
   if (ok && frame.type == MT_PEER_MESH_CALL)
     {
       mt_traffic_add_received (link->mesh->traffic,
                                mt_mesh_method_name ((enum mt_mesh_method) method), payload.len);
-      take_call (link, id, method, &args);
+      handle_call (link, id, method, &args);
     }
   else if (ok && frame.type == MT_PEER_MESH_REPLY)
-    take_reply (link->mesh, id, &args, payload.len);
+    handle_reply (link->mesh, id, &args, payload.len);
   else
     ok = false;
   msgpack_unpacked_destroy (&unpacked);
@@ -227,7 +230,7 @@
 {
   struct link *link = ctx;
   struct evbuffer *input = bufferevent_get_input (bev);
-  char head[MT_FRAME_HEADER_BYTES];
+  char header[MT_FRAME_HEADER_BYTES];
 
   g_rc_box_acquire (link);
   while (!link->closed && evbuffer_get_length (input) >= MT_FRAME_HEADER_BYTES)
@@ -235,8 +238,8 @@
       size_t len = 0;
       g_autofree char *payload = NULL;
 
-      evbuffer_copyout (input, head, sizeof head);
-      if (!mt_frame_length (head, &len, NULL))
+      evbuffer_copyout (input, header, sizeof header);
+      if (!mt_frame_length (header, &len, NULL))
         {
           close_link (link);
           break;
@@ -246,7 +249,7 @@
       evbuffer_drain (input, MT_FRAME_HEADER_BYTES);
       payload = g_malloc (len);
       evbuffer_remove (input, payload, len);
-      if (!take_frame (link, (struct mt_str){ payload, len }))
+      if (!handle_frame (link, (struct mt_str){ payload, len }))
         close_link (link);
     }
   unref_link (link);
@@ -274,9 +277,9 @@
 
   link->mesh = mesh;
   link->address = g_strdup (address);
-  link->all.data = link;
+  link->node.data = link;
   link->bev = bufferevent_socket_new (mesh->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  g_queue_push_tail_link (&mesh->all, &link->all);
+  g_queue_push_tail_link (&mesh->all_links, &link->node);
   bufferevent_setcb (link->bev, on_readable, NULL, on_event, link);
   bufferevent_enable (link->bev, EV_READ | EV_WRITE);
   return link;
@@ -294,16 +297,16 @@
 }
 
 static struct link *
-link_to (struct mt_mesh *mesh, const char *address)
+get_link (struct mt_mesh *mesh, const char *address)
 {
   struct link *link = g_hash_table_lookup (mesh->links, address);
-  struct sockaddr_in to;
+  struct sockaddr_in peer;
 
-  if (link != NULL || !mt_address_parse (address, &to, NULL))
+  if (link != NULL || !mt_address_parse (address, &peer, NULL))
     return link;
   link = add_link (mesh, -1, address);
   g_hash_table_insert (mesh->links, link->address, link);
-  if (bufferevent_socket_connect (link->bev, (struct sockaddr *) &to, sizeof to) != 0)
+  if (bufferevent_socket_connect (link->bev, (struct sockaddr *) &peer, sizeof peer) != 0)
     {
       close_link (link);
       return NULL;
@@ -315,13 +318,13 @@
 /* ---- calls ---- */
 
 static void
-free_waiting (void *data)
+free_pending_call (void *data)
 {
-  struct waiting *w = data;
+  struct pending_call *pending = data;
 
-  event_free (w->timer);
-  g_free (w->address);
-  g_free (w);
+  event_free (pending->timer);
+  g_free (pending->address);
+  g_free (pending);
 }
 
 void
@@ -333,30 +336,30 @@
               mt_mesh_done done,
               void *ctx)
 {
-  struct waiting *w = g_new0 (struct waiting, 1);
-  struct link *link = link_to (mesh, address);
-  struct timeval limit = { timeout_ms / 1000, timeout_ms % 1000 * 1000 };
+  struct pending_call *pending = g_new0 (struct pending_call, 1);
+  struct link *link = get_link (mesh, address);
+  struct timeval timeout = { timeout_ms / 1000, timeout_ms % 1000 * 1000 };
   size_t len = 0;
   g_autofree char *frame = NULL;
 
-  w->mesh = mesh;
-  w->method = method;
-  w->id = ++mesh->next_id;
-  w->address = g_strdup (address);
-  w->done = done;
-  w->ctx = ctx;
-  w->timer = event_new (mesh->base, -1, 0, on_timeout, w);
-  g_hash_table_insert (mesh->waiting, &w->id, w);
-  frame = encode (mesh, MT_PEER_MESH_CALL, w->id, method, args, &len);
+  pending->mesh = mesh;
+  pending->method = method;
+  pending->id = ++mesh->next_id;
+  pending->address = g_strdup (address);
+  pending->done = done;
+  pending->ctx = ctx;
+  pending->timer = event_new (mesh->base, -1, 0, on_timeout, pending);
+  g_hash_table_insert (mesh->pending_calls, &pending->id, pending);
+  frame = encode_message (mesh, MT_PEER_MESH_CALL, pending->id, method, args, &len);
   if (link == NULL || frame == NULL
       || evbuffer_get_length (bufferevent_get_output (link->bev)) + len > MAX_QUEUED_BYTES)
-    limit = (struct timeval){ 0 };
+    timeout = (struct timeval){ 0 };
   else
     {
       mt_traffic_add_sent (mesh->traffic, mt_mesh_method_name (method), len);
       bufferevent_write (link->bev, frame, len);
     }
-  event_add (w->timer, &limit);
+  event_add (pending->timer, &timeout);
 }
 
 void
@@ -367,7 +370,8 @@
 
   if (!link->closed)
     {
-      g_autofree char *frame = encode (link->mesh, MT_PEER_MESH_REPLY, call->id, 0, args, &len);
+      g_autofree char *frame
+          = encode_message (link->mesh, MT_PEER_MESH_REPLY, call->id, 0, args, &len);
 
       if (frame != NULL)
         {
@@ -379,7 +383,7 @@
   g_free (call);
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 struct mt_mesh *
 mt_mesh_create (struct event_base *base,
@@ -391,7 +395,7 @@
                 GError **error)
 {
   struct mt_mesh *mesh = g_new0 (struct mt_mesh, 1);
-  struct sockaddr_in at;
+  struct sockaddr_in listen_address;
 
   mesh->base = base;
   mesh->traffic = traffic;
@@ -399,11 +403,12 @@
   mesh->handler = handler;
   mesh->ctx = ctx;
   mesh->links = g_hash_table_new (g_str_hash, g_str_equal);
-  mesh->waiting = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_waiting);
-  if (mt_address_parse (address, &at, NULL))
+  mesh->pending_calls
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, free_pending_call);
+  if (mt_address_parse (address, &listen_address, NULL))
     mesh->listener
         = evconnlistener_new_bind (base, on_accept, mesh, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-                                   128, (struct sockaddr *) &at, sizeof at);
+                                   128, (struct sockaddr *) &listen_address, sizeof listen_address);
   if (mesh->listener != NULL)
     return mesh;
   g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS,
@@ -423,18 +428,18 @@
 {
   if (mesh == NULL)
     return;
-  while (g_hash_table_size (mesh->waiting) > 0)
+  while (g_hash_table_size (mesh->pending_calls) > 0)
     {
       GHashTableIter it;
-      struct waiting *w;
+      struct pending_call *pending;
 
-      g_hash_table_iter_init (&it, mesh->waiting);
-      if (g_hash_table_iter_next (&it, NULL, (void **) &w))
-        answer_waiting (w, NULL);
+      g_hash_table_iter_init (&it, mesh->pending_calls);
+      if (g_hash_table_iter_next (&it, NULL, (void **) &pending))
+        complete_call (pending, NULL);
     }
-  while (!g_queue_is_empty (&mesh->all))
-    close_link (g_queue_peek_head (&mesh->all));
-  g_hash_table_unref (mesh->waiting);
+  while (!g_queue_is_empty (&mesh->all_links))
+    close_link (g_queue_peek_head (&mesh->all_links));
+  g_hash_table_unref (mesh->pending_calls);
   g_hash_table_unref (mesh->links);
   if (mesh->listener != NULL)
     evconnlistener_free (mesh->listener);
--- a/net/peer.h
+++ b/net/peer.h
@@ -12,32 +12,32 @@
 #define MT_PEER_PROTOCOL        1
 #define MT_PEER_MAX_FRAME_BYTES (2 * 1024 * 1024)
 
-/* What a frame is about. Numbers are part of the protocol: never reused. */
+/* Frame types. The numbers are part of the protocol and never reused. */
 enum mt_peer_type
 {
-  MT_PEER_HEARTBEAT = 1, /* membership: who, versions, loads; answered by the receiver's own */
-  MT_PEER_TABLES = 2,    /* asks for the tables document in force */
-  MT_PEER_ASSIGN = 3,    /* asks for the assignment document in force */
-  MT_PEER_CLAIM = 4,     /* asks a shard's owner for claims */
-  MT_PEER_DUMP = 5,      /* asks for the state dump, JSON text */
-  MT_PEER_LEAVING = 6,   /* the sender stops gracefully */
-  MT_PEER_MESH_CALL = 7, /* of mesh.h */
+  MT_PEER_HEARTBEAT = 1, /* membership: member, versions, loads; answered by the receiver's own */
+  MT_PEER_TABLES = 2,    /* requests the tables document in force */
+  MT_PEER_ASSIGN = 3,    /* requests the assignment document in force */
+  MT_PEER_CLAIM = 4,     /* requests claims from a shard's owner */
+  MT_PEER_DUMP = 5,      /* requests the state dump, JSON text */
+  MT_PEER_LEAVING = 6,   /* the sender is stopping gracefully */
+  MT_PEER_MESH_CALL = 7, /* see mesh.h */
   MT_PEER_MESH_REPLY = 8,
   MT_PEER_TYPES = 16,
 };
 
-/* Answers one frame, in a thread of the server's. The reply is malloced bytes that the server
- * frees; NULL closes the connection. */
+/* Answers one frame, in a thread of the server. Returns a malloced reply, which the server frees;
+ * NULL closes the connection. */
 typedef char *(*mt_peer_handler) (void *ctx,
                                   struct mt_str sender,
                                   struct mt_str body,
                                   size_t *reply_len);
 
 struct mt_peer_server;
-/* name identifies this process in its frames. */
+/* name: sender of the frames of this process. */
 struct mt_peer_server *
 mt_peer_server_create (const char *address, const char *name, GError **error);
-/* Before mt_peer_server_start. */
+/* Must be called before mt_peer_server_start. */
 void mt_peer_server_set_handler (struct mt_peer_server *server,
                                  enum mt_peer_type type,
                                  mt_peer_handler handler,
@@ -46,23 +46,24 @@
 unsigned mt_peer_server_port (const struct mt_peer_server *server);
 void mt_peer_server_destroy (struct mt_peer_server *server);
 
-/* Bytes of frames so far, heads included, TCP's own not. */
+/* Bytes of frames so far, with their headers but without the overhead of TCP. */
 struct mt_peer_traffic
 {
   uint64_t received;
   uint64_t sent;
-  uint64_t frames; /* calls answered, or replies got */
+  uint64_t frames; /* calls answered, or replies received */
 };
 
 struct mt_peer_traffic mt_peer_server_traffic (const struct mt_peer_server *server);
 
-/* Calls one peer and waits for its reply; keeps connections. Any thread. */
+/* Calls one peer at a time and waits for its reply, over kept connections. Any thread may call. */
 struct mt_peer_client;
 struct mt_peer_client *mt_peer_client_create (const struct mt_clock *clock, const char *name);
 void mt_peer_client_destroy (struct mt_peer_client *client);
 struct mt_peer_traffic mt_peer_client_traffic (const struct mt_peer_client *client);
-/* reply is malloced, the caller frees it. MT_ERROR_UNAVAILABLE: not delivered; MT_ERROR_UNKNOWN:
- * sent and no whole reply. */
+/* reply is malloced, to be freed by the caller. MT_ERROR_UNAVAILABLE: not delivered;
+ * MT_ERROR_UNKNOWN: sent, but no complete reply was received; MT_ERROR_LIMIT: body too long for a
+ * frame. */
 bool mt_peer_client_call (struct mt_peer_client *client,
                           const char *address,
                           enum mt_peer_type type,
--- a/net/peer_client.c
+++ b/net/peer_client.c
@@ -11,15 +11,15 @@
 #include <string.h>
 #include <unistd.h>
 
-#define KEPT_PER_ADDRESS 8
-#define KEPT_US          (20 * MT_SECOND) /* below the server's idle limit */
-#define SWEEP_US         (10 * MT_SECOND)
-#define READ_CHUNK       16384
+#define MAX_KEPT_PER_ADDRESS 8
+#define MAX_KEPT_US          (20 * MT_SECOND) /* less than the server's idle limit */
+#define SWEEP_INTERVAL_US    (10 * MT_SECOND)
+#define READ_CHUNK_BYTES     16384
 
-struct kept
+struct kept_connection
 {
   int fd;
-  int64_t since_us;
+  int64_t idle_since_us;
 };
 
 struct mt_peer_client
@@ -28,9 +28,9 @@
   char *name;
   struct mt_peer_traffic traffic; /* atomic */
   GMutex lock;
-  /* Guarded by lock. */
-  GHashTable *idle; /* address -> GQueue of struct kept, newest first */
-  int64_t swept_us;
+  /* The fields below are guarded by lock. */
+  GHashTable *idle; /* address -> GQueue of struct kept_connection, newest first */
+  int64_t last_sweep_us;
 };
 
 struct call
@@ -39,13 +39,13 @@
   const char *address;
   int64_t deadline_us;
   int fd;
-  size_t received; /* bytes of the reply's frame */
+  size_t reply_bytes; /* bytes of the reply's frame, header included */
 };
 
 static void
 free_kept (gpointer data)
 {
-  struct kept *kept = data;
+  struct kept_connection *kept = data;
 
   close (kept->fd);
   g_free (kept);
@@ -58,20 +58,20 @@
 }
 
 static bool
-wait_for (const struct call *call, short events)
+wait_for_events (const struct call *call, short events)
 {
   for (;;)
     {
-      struct pollfd poller = { call->fd, events, 0 };
-      int64_t left = call->deadline_us - mt_clock_now (call->client->clock);
+      struct pollfd poll_fd = { call->fd, events, 0 };
+      int64_t remaining_us = call->deadline_us - mt_clock_now (call->client->clock);
       int rc;
 
-      if (left <= 0)
+      if (remaining_us <= 0)
         {
           errno = ETIMEDOUT;
           return false;
         }
-      rc = poll (&poller, 1, (int) MIN ((left + MT_MS - 1) / MT_MS, G_MAXINT));
+      rc = poll (&poll_fd, 1, (int) MIN ((remaining_us + MT_MS - 1) / MT_MS, G_MAXINT));
       if (rc > 0)
         return true;
       if (rc < 0 && errno != EINTR)
@@ -79,7 +79,7 @@
     }
 }
 
-/* A kept connection that the peer has closed, or on which it sent unasked, is of no more use. */
+/* False if the peer has closed the connection or sent unsolicited data. */
 static bool
 is_usable (int fd)
 {
@@ -89,20 +89,21 @@
 }
 
 static void
-sweep (struct mt_peer_client *client, int64_t now)
+close_expired (struct mt_peer_client *client, int64_t now)
 {
   GHashTableIter iter;
   gpointer queue;
 
-  if (now - client->swept_us < SWEEP_US)
+  if (now - client->last_sweep_us < SWEEP_INTERVAL_US)
     return;
-  client->swept_us = now;
+  client->last_sweep_us = now;
   g_hash_table_iter_init (&iter, client->idle);
   while (g_hash_table_iter_next (&iter, NULL, &queue))
     {
-      struct kept *oldest;
+      struct kept_connection *oldest;
 
-      while ((oldest = g_queue_peek_tail (queue)) != NULL && now - oldest->since_us > KEPT_US)
+      while ((oldest = g_queue_peek_tail (queue)) != NULL
+             && now - oldest->idle_since_us > MAX_KEPT_US)
         free_kept (g_queue_pop_tail (queue));
       if (oldest == NULL)
         g_hash_table_iter_remove (&iter);
@@ -110,14 +111,14 @@
 }
 
 static int
-take_kept (struct mt_peer_client *client, const char *address)
+take_connection (struct mt_peer_client *client, const char *address)
 {
-  struct kept *kept;
+  struct kept_connection *kept;
   GQueue *queue;
   int fd = -1;
 
   g_mutex_lock (&client->lock);
-  sweep (client, mt_clock_now (client->clock));
+  close_expired (client, mt_clock_now (client->clock));
   queue = g_hash_table_lookup (client->idle, address);
   while (fd < 0 && queue != NULL && (kept = g_queue_pop_head (queue)) != NULL)
     {
@@ -134,13 +135,13 @@
 }
 
 static void
-keep (struct mt_peer_client *client, const char *address, int fd)
+keep_connection (struct mt_peer_client *client, const char *address, int fd)
 {
-  struct kept *kept = g_new (struct kept, 1);
+  struct kept_connection *kept = g_new (struct kept_connection, 1);
   GQueue *queue;
 
   kept->fd = fd;
-  kept->since_us = mt_clock_now (client->clock);
+  kept->idle_since_us = mt_clock_now (client->clock);
   g_mutex_lock (&client->lock);
   queue = g_hash_table_lookup (client->idle, address);
   if (queue == NULL)
@@ -149,14 +150,14 @@
       g_hash_table_insert (client->idle, g_strdup (address), queue);
     }
   g_queue_push_head (queue, kept);
-  kept = g_queue_get_length (queue) > KEPT_PER_ADDRESS ? g_queue_pop_tail (queue) : NULL;
+  kept = g_queue_get_length (queue) > MAX_KEPT_PER_ADDRESS ? g_queue_pop_tail (queue) : NULL;
   g_mutex_unlock (&client->lock);
   if (kept != NULL)
     free_kept (kept);
 }
 
 static bool
-open_socket (struct call *call, GError **error)
+connect_to_peer (struct call *call, GError **error)
 {
   static const int on = 1;
   struct sockaddr_in addr;
@@ -171,7 +172,7 @@
   else if (connect (call->fd, (struct sockaddr *) &addr, sizeof addr) != 0)
     {
       failure = errno;
-      if (failure == EINPROGRESS && !wait_for (call, POLLOUT))
+      if (failure == EINPROGRESS && !wait_for_events (call, POLLOUT))
         failure = errno;
       else if (failure == EINPROGRESS)
         getsockopt (call->fd, SOL_SOCKET, SO_ERROR, &failure, &len);
@@ -182,12 +183,12 @@
       return true;
     }
   g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
-               "can't connect to %s: %s; check that the daemon runs and the network is not cut",
+               "can't connect to %s: %s; check that the daemon runs and can be reached",
                call->address, g_strerror (failure));
   return false;
 }
 
-/* The server acts on whole frames only: while the last byte has not left, nothing was delivered. */
+/* The server acts on complete frames only: until the last byte is sent, nothing is delivered. */
 static bool
 send_frame (const struct call *call, const char *bytes, size_t len, GError **error)
 {
@@ -201,7 +202,7 @@
           len -= (size_t) n;
           continue;
         }
-      if (errno == EINTR || (errno == EAGAIN && wait_for (call, POLLOUT)))
+      if (errno == EINTR || (errno == EAGAIN && wait_for_events (call, POLLOUT)))
         continue;
       g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
                    "could not send to %s: %s; check the daemon and the network", call->address,
@@ -224,19 +225,19 @@
           len -= (size_t) n;
           continue;
         }
-      if (n < 0 && (errno == EINTR || (errno == EAGAIN && wait_for (call, POLLIN))))
+      if (n < 0 && (errno == EINTR || (errno == EAGAIN && wait_for_events (call, POLLIN))))
         continue;
       g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
-                   "no whole reply from %s: %s; it may have acted on the call, see its dump",
+                   "incomplete reply from %s: %s; it may have acted on the call, see its dump",
                    call->address, n == 0 ? "it closed the connection" : g_strerror (errno));
       return false;
     }
   return true;
 }
 
-/* Whatever is wrong with the reply, the call itself was delivered. */
+/* A bad reply is MT_ERROR_UNKNOWN, since the call itself was delivered. */
 static bool
-refuse_reply (const struct call *call, GError **error, GError *cause)
+reject_reply (const struct call *call, GError **error, GError *cause)
 {
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "bad reply from %s: %s", call->address,
                cause != NULL ? cause->message : "it is of another type; update the older daemon");
@@ -251,24 +252,24 @@
   g_autofree char *payload = NULL;
   struct mt_frame frame;
   GError *cause = NULL;
-  char head[MT_FRAME_HEADER_BYTES];
+  char header[MT_FRAME_HEADER_BYTES];
   size_t len;
 
-  if (!receive_exactly (call, head, sizeof head, error))
+  if (!receive_exactly (call, header, sizeof header, error))
     return false;
-  if (!mt_frame_length (head, &len, &cause))
-    return refuse_reply (call, error, cause);
+  if (!mt_frame_length (header, &len, &cause))
+    return reject_reply (call, error, cause);
   payload = g_malloc (len);
   if (!receive_exactly (call, payload, len, error))
     return false;
   if (!mt_frame_decode ((struct mt_str){ payload, len }, &frame, &cause)
       || frame.type != (unsigned) type)
-    return refuse_reply (call, error, cause);
+    return reject_reply (call, error, cause);
   *reply = malloc (frame.body.len + 1);
   memcpy (*reply, frame.body.data, frame.body.len);
   (*reply)[frame.body.len] = '\0';
   *reply_len = frame.body.len;
-  call->received = MT_FRAME_HEADER_BYTES + len;
+  call->reply_bytes = MT_FRAME_HEADER_BYTES + len;
   return true;
 }
 
@@ -320,18 +321,18 @@
   if (bytes == NULL)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
-                   "a call of %zu bytes passes the frame limit of %d; send less", body.len,
+                   "a call of %zu bytes exceeds the frame limit of %d; send less", body.len,
                    MT_PEER_MAX_FRAME_BYTES);
       return false;
     }
-  call.fd = take_kept (client, address);
-  if ((call.fd >= 0 || open_socket (&call, error)) && send_frame (&call, bytes, len, error))
+  call.fd = take_connection (client, address);
+  if ((call.fd >= 0 || connect_to_peer (&call, error)) && send_frame (&call, bytes, len, error))
     ok = receive_reply (&call, type, reply, reply_len, error);
-  /* After a failure the late reply could still come: the connection is never used again. */
+  /* After a failure the late reply may still arrive, so the connection is not reused. */
   if (ok)
     {
-      mt_peer_traffic_add (&client->traffic, call.received, len);
-      keep (client, address, call.fd);
+      mt_peer_traffic_add (&client->traffic, call.reply_bytes, len);
+      keep_connection (client, address, call.fd);
     }
   else if (call.fd >= 0)
     close (call.fd);
--- a/net/peer_server.c
+++ b/net/peer_server.c
@@ -12,22 +12,22 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-#define MAX_CONNECTIONS   512
-#define MAX_PENDING_BYTES (16UL * 1024 * 1024) /* of frames that have not come in full */
-#define BACKLOG           128
-#define READ_CHUNK        16384
-#define IDLE_US           (60 * MT_SECOND) /* between frames */
-#define FRAME_US          (5 * MT_SECOND)  /* from a frame's first byte to its last */
-#define WRITE_US          (5 * MT_SECOND)
-#define SWEEP_MS          500
-#define QUICK_THREADS     4
-#define SLOW_THREADS      32
+#define MAX_CONNECTIONS      512
+#define MAX_INCOMPLETE_BYTES (16UL * 1024 * 1024) /* of incomplete frames, on all connections */
+#define LISTEN_BACKLOG       128
+#define READ_CHUNK_BYTES     16384
+#define IDLE_TIMEOUT_US      (60 * MT_SECOND) /* between frames */
+#define FRAME_TIMEOUT_US     (5 * MT_SECOND)  /* between the first and the last byte of a frame */
+#define WRITE_TIMEOUT_US     (5 * MT_SECOND)
+#define SWEEP_INTERVAL_MS    500
+#define QUICK_THREADS        4
+#define SLOW_THREADS         32
 
 struct connection
 {
   int fd;
-  GByteArray *in;
-  int64_t since_us; /* accepted, last reply, or the first byte of the frame at hand */
+  GByteArray *input;
+  int64_t since_us; /* accepted, last replied to, or first byte of the current frame */
   struct mt_peer_server *server;
 };
 
@@ -42,42 +42,42 @@
   const struct mt_clock *clock;
   char *name;
   int listener;
-  int wake;                               /* eventfd: a connection came back, or stop */
+  int wake_fd; /* eventfd: a connection was answered, or the server stops */
   struct handler handlers[MT_PEER_TYPES]; /* written before the threads start */
   GThread *thread;
-  /* A handler may wait, as for the platform: such ones have threads of their own, so that
-   * heartbeats are answered while all of them wait. */
-  GThreadPool *quick;
-  GThreadPool *slow;
+  /* Handlers that may block, such as on the platform, run in a pool of their own, so that
+   * heartbeats are answered even while all threads of that pool are blocked. */
+  GThreadPool *quick_pool;
+  GThreadPool *slow_pool;
   gint stopping;                  /* atomic */
-  gint open;                      /* atomic: connections in all */
+  gint n_open;                    /* atomic: number of connections */
   struct mt_peer_traffic traffic; /* atomic */
   GMutex lock;
-  GPtrArray *returned; /* guarded by lock: answered, to be read from again */
-  /* The reading thread's own. */
+  GPtrArray *answered; /* guarded by lock: answered connections, to be read from again */
+  /* The fields below are used only by the reading thread. */
   GPtrArray *reading;
-  size_t pending_bytes;
+  size_t incomplete_bytes;
 };
 
 static void
 close_connection (struct connection *connection)
 {
-  g_atomic_int_add (&connection->server->open, -1);
+  g_atomic_int_add (&connection->server->n_open, -1);
   close (connection->fd);
-  g_byte_array_unref (connection->in);
+  g_byte_array_unref (connection->input);
   g_free (connection);
 }
 
 static bool
-write_whole (const struct mt_clock *clock, int fd, const char *bytes, size_t len)
+write_all (const struct mt_clock *clock, int fd, const char *bytes, size_t len)
 {
-  int64_t deadline = mt_clock_now (clock) + WRITE_US;
+  int64_t deadline = mt_clock_now (clock) + WRITE_TIMEOUT_US;
 
   while (len > 0)
     {
       ssize_t n = send (fd, bytes, len, MSG_NOSIGNAL);
-      struct pollfd poller = { fd, POLLOUT, 0 };
-      int64_t left = deadline - mt_clock_now (clock);
+      struct pollfd poll_fd = { fd, POLLOUT, 0 };
+      int64_t remaining_us = deadline - mt_clock_now (clock);
 
       if (n > 0)
         {
@@ -87,17 +87,18 @@
         }
       if (n < 0 && errno == EINTR)
         continue;
-      if (errno != EAGAIN || left <= 0 || poll (&poller, 1, (int) (left / MT_MS) + 1) < 0)
+      if (errno != EAGAIN || remaining_us <= 0
+          || poll (&poll_fd, 1, (int) (remaining_us / MT_MS) + 1) < 0)
         return false;
     }
   return true;
 }
 
 static bool
-answer (struct mt_peer_server *server, struct connection *connection)
+answer_frame (struct mt_peer_server *server, struct connection *connection)
 {
-  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEADER_BYTES,
-                            connection->in->len - MT_FRAME_HEADER_BYTES };
+  struct mt_str payload = { (const char *) connection->input->data + MT_FRAME_HEADER_BYTES,
+                            connection->input->len - MT_FRAME_HEADER_BYTES };
   struct mt_frame frame;
   const struct handler *handler;
   char *reply;
@@ -115,51 +116,51 @@
   bytes = mt_frame_encode (frame.type, mt_str_from (server->name), (struct mt_str){ reply, len },
                            &len);
   free (reply);
-  if (bytes == NULL || !write_whole (server->clock, connection->fd, bytes, len))
+  if (bytes == NULL || !write_all (server->clock, connection->fd, bytes, len))
     return false;
-  mt_peer_traffic_add (&server->traffic, connection->in->len, len);
+  mt_peer_traffic_add (&server->traffic, connection->input->len, len);
   return true;
 }
 
-/* In a worker thread, which owns the connection meanwhile. */
+/* Runs in a pool thread, which owns the connection until it is answered. */
 static void
-work (gpointer data, gpointer ctx)
+run_handler (gpointer data, gpointer ctx)
 {
   struct connection *connection = data;
   struct mt_peer_server *server = ctx;
 
-  if (!answer (server, connection))
+  if (!answer_frame (server, connection))
     {
       close_connection (connection);
       return;
     }
-  g_byte_array_set_size (connection->in, 0);
+  g_byte_array_set_size (connection->input, 0);
   connection->since_us = mt_clock_now (server->clock);
   g_mutex_lock (&server->lock);
-  g_ptr_array_add (server->returned, connection);
+  g_ptr_array_add (server->answered, connection);
   g_mutex_unlock (&server->lock);
-  eventfd_write (server->wake, 1);
+  eventfd_write (server->wake_fd, 1);
 }
 
 static void
-take_returned (struct mt_peer_server *server)
+take_answered (struct mt_peer_server *server)
 {
   eventfd_t ignored;
 
-  eventfd_read (server->wake, &ignored);
+  eventfd_read (server->wake_fd, &ignored);
   g_mutex_lock (&server->lock);
-  g_ptr_array_extend_and_steal (server->reading, server->returned);
-  server->returned = g_ptr_array_new ();
+  g_ptr_array_extend_and_steal (server->reading, server->answered);
+  server->answered = g_ptr_array_new ();
   g_mutex_unlock (&server->lock);
 }
 
-/* Drops a connection that no worker has. */
+/* Closes a connection that is not owned by a pool thread. */
 static void
-drop (struct mt_peer_server *server, guint i)
+drop_connection (struct mt_peer_server *server, guint i)
 {
   struct connection *connection = g_ptr_array_remove_index_fast (server->reading, i);
 
-  server->pending_bytes -= connection->in->len;
+  server->incomplete_bytes -= connection->input->len;
   close_connection (connection);
 }
 
@@ -177,11 +178,11 @@
         oldest = i;
     }
   if (server->reading->len > 0)
-    drop (server, oldest);
+    drop_connection (server, oldest);
 }
 
 static void
-accept_all (struct mt_peer_server *server)
+accept_connections (struct mt_peer_server *server)
 {
   static const int on = 1;
   int fd;
@@ -190,11 +191,11 @@
     {
       struct connection *connection;
 
-      /* A peer that opens connections and says nothing would shut the others out: the one that has
-       * been silent longest makes room, and its owner, if honest, connects again. */
-      if (g_atomic_int_get (&server->open) >= MAX_CONNECTIONS)
+      /* A peer could block others by opening connections without sending anything. So the
+       * connection that has been silent longest is closed; a legitimate owner reconnects. */
+      if (g_atomic_int_get (&server->n_open) >= MAX_CONNECTIONS)
         drop_oldest (server);
-      if (g_atomic_int_get (&server->open) >= MAX_CONNECTIONS)
+      if (g_atomic_int_get (&server->n_open) >= MAX_CONNECTIONS)
         {
           close (fd);
           continue;
@@ -202,76 +203,77 @@
       setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
       connection = g_new0 (struct connection, 1);
       connection->fd = fd;
-      connection->in = g_byte_array_new ();
+      connection->input = g_byte_array_new ();
       connection->since_us = mt_clock_now (server->clock);
       connection->server = server;
-      g_atomic_int_inc (&server->open);
+      g_atomic_int_inc (&server->n_open);
       g_ptr_array_add (server->reading, connection);
     }
 }
 
-/* False where the connection is to be closed. *whole is set once a frame has come in full. */
+/* Returns false if the connection is to be closed. Sets *complete once a frame is complete. */
 static bool
-read_some (struct mt_peer_server *server, struct connection *connection, bool *whole)
+read_chunk (struct mt_peer_server *server, struct connection *connection, bool *complete)
 {
-  unsigned char chunk[READ_CHUNK];
+  unsigned char chunk[READ_CHUNK_BYTES];
   ssize_t n = recv (connection->fd, chunk, sizeof chunk, 0);
   size_t len;
 
   if (n < 0)
     return errno == EAGAIN || errno == EINTR;
-  if (n == 0 || server->pending_bytes + (size_t) n > MAX_PENDING_BYTES)
+  if (n == 0 || server->incomplete_bytes + (size_t) n > MAX_INCOMPLETE_BYTES)
     return false;
-  if (connection->in->len == 0)
+  if (connection->input->len == 0)
     connection->since_us = mt_clock_now (server->clock);
-  g_byte_array_append (connection->in, chunk, (guint) n);
-  server->pending_bytes += (size_t) n;
-  if (connection->in->len < MT_FRAME_HEADER_BYTES)
+  g_byte_array_append (connection->input, chunk, (guint) n);
+  server->incomplete_bytes += (size_t) n;
+  if (connection->input->len < MT_FRAME_HEADER_BYTES)
     return true;
-  if (!mt_frame_length ((const char *) connection->in->data, &len, NULL))
+  if (!mt_frame_length ((const char *) connection->input->data, &len, NULL))
     return false;
-  *whole = connection->in->len == MT_FRAME_HEADER_BYTES + len;
-  /* Nobody sends a second frame before the reply to the first. */
-  return connection->in->len <= MT_FRAME_HEADER_BYTES + len;
+  *complete = connection->input->len == MT_FRAME_HEADER_BYTES + len;
+  /* No peer sends a second frame before the reply to the first. */
+  return connection->input->len <= MT_FRAME_HEADER_BYTES + len;
 }
 
 static void
-hand_over (struct mt_peer_server *server, guint i)
+dispatch_frame (struct mt_peer_server *server, guint i)
 {
   struct connection *connection = g_ptr_array_remove_index_fast (server->reading, i);
   struct mt_frame frame;
-  struct mt_str payload = { (const char *) connection->in->data + MT_FRAME_HEADER_BYTES,
-                            connection->in->len - MT_FRAME_HEADER_BYTES };
+  struct mt_str payload = { (const char *) connection->input->data + MT_FRAME_HEADER_BYTES,
+                            connection->input->len - MT_FRAME_HEADER_BYTES };
 
-  server->pending_bytes -= connection->in->len;
+  server->incomplete_bytes -= connection->input->len;
   if (!mt_frame_decode (payload, &frame, NULL))
     {
       close_connection (connection);
       return;
     }
-  g_thread_pool_push (frame.type == MT_PEER_CLAIM ? server->slow : server->quick, connection, NULL);
+  g_thread_pool_push (frame.type == MT_PEER_CLAIM ? server->slow_pool : server->quick_pool,
+                      connection, NULL);
 }
 
-/* Backwards, since dropping moves the last one into the gap. */
+/* Iterates backwards, since closing a connection moves the last one into its place. */
 static void
-read_ready (struct mt_peer_server *server, const struct pollfd *fds)
+read_connections (struct mt_peer_server *server, const struct pollfd *fds)
 {
   for (guint i = server->reading->len; i-- > 0;)
     {
-      bool whole = false;
+      bool complete = false;
 
       if (fds[i].revents == 0)
         continue;
-      if (!read_some (server, server->reading->pdata[i], &whole))
-        drop (server, i);
-      else if (whole)
-        hand_over (server, i);
+      if (!read_chunk (server, server->reading->pdata[i], &complete))
+        drop_connection (server, i);
+      else if (complete)
+        dispatch_frame (server, i);
     }
 }
 
-/* A peer that vanished without a word, or sends byte by byte, gives its place back. */
+/* Closes the connections of peers that vanished without a reset or send too slowly. */
 static void
-drop_late (struct mt_peer_server *server)
+drop_timed_out (struct mt_peer_server *server)
 {
   int64_t now = mt_clock_now (server->clock);
 
@@ -279,17 +281,18 @@
     {
       const struct connection *connection = server->reading->pdata[i];
 
-      if (now - connection->since_us > (connection->in->len > 0 ? FRAME_US : IDLE_US))
-        drop (server, i);
+      if (now - connection->since_us
+          > (connection->input->len > 0 ? FRAME_TIMEOUT_US : IDLE_TIMEOUT_US))
+        drop_connection (server, i);
     }
 }
 
 static gpointer
-run (gpointer data)
+run_server (gpointer data)
 {
   struct mt_peer_server *server = data;
   struct pollfd fds[MAX_CONNECTIONS + 2];
-  int64_t swept = mt_clock_now (server->clock);
+  int64_t last_sweep_us = mt_clock_now (server->clock);
 
   while (!g_atomic_int_get (&server->stopping))
     {
@@ -299,19 +302,19 @@
         fds[i]
             = (struct pollfd){ ((struct connection *) server->reading->pdata[i])->fd, POLLIN, 0 };
       fds[n] = (struct pollfd){ server->listener, POLLIN, 0 };
-      fds[n + 1] = (struct pollfd){ server->wake, POLLIN, 0 };
-      if (poll (fds, n + 2, SWEEP_MS) > 0)
+      fds[n + 1] = (struct pollfd){ server->wake_fd, POLLIN, 0 };
+      if (poll (fds, n + 2, SWEEP_INTERVAL_MS) > 0)
         {
-          read_ready (server, fds);
+          read_connections (server, fds);
           if (fds[n].revents != 0)
-            accept_all (server);
+            accept_connections (server);
           if (fds[n + 1].revents != 0)
-            take_returned (server);
+            take_answered (server);
         }
-      if (mt_clock_now (server->clock) - swept < SWEEP_MS * MT_MS)
+      if (mt_clock_now (server->clock) - last_sweep_us < SWEEP_INTERVAL_MS * MT_MS)
         continue;
-      swept = mt_clock_now (server->clock);
-      drop_late (server);
+      last_sweep_us = mt_clock_now (server->clock);
+      drop_timed_out (server);
     }
   return NULL;
 }
@@ -327,7 +330,7 @@
     return -1;
   fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind (fd, (struct sockaddr *) &addr, sizeof addr) == 0 && listen (fd, BACKLOG) == 0)
+  if (bind (fd, (struct sockaddr *) &addr, sizeof addr) == 0 && listen (fd, LISTEN_BACKLOG) == 0)
     return fd;
   g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
                "can't listen on %s: %s; free the port or change peer_listen", address,
@@ -348,9 +351,9 @@
   server->clock = mt_clock_system ();
   server->name = g_strdup (name);
   server->listener = fd;
-  server->wake = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
+  server->wake_fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
   server->reading = g_ptr_array_new ();
-  server->returned = g_ptr_array_new ();
+  server->answered = g_ptr_array_new ();
   g_mutex_init (&server->lock);
   return server;
 }
@@ -368,9 +371,9 @@
 void
 mt_peer_server_start (struct mt_peer_server *server)
 {
-  server->quick = g_thread_pool_new (work, server, QUICK_THREADS, FALSE, NULL);
-  server->slow = g_thread_pool_new (work, server, SLOW_THREADS, FALSE, NULL);
-  server->thread = g_thread_new ("peer-server", run, server);
+  server->quick_pool = g_thread_pool_new (run_handler, server, QUICK_THREADS, FALSE, NULL);
+  server->slow_pool = g_thread_pool_new (run_handler, server, SLOW_THREADS, FALSE, NULL);
+  server->thread = g_thread_new ("peer-server", run_server, server);
 }
 
 unsigned
@@ -391,20 +394,20 @@
   if (server == NULL)
     return;
   g_atomic_int_set (&server->stopping, 1);
-  eventfd_write (server->wake, 1);
+  eventfd_write (server->wake_fd, 1);
   if (server->thread != NULL)
     {
       g_thread_join (server->thread);
-      g_thread_pool_free (server->quick, FALSE, TRUE);
-      g_thread_pool_free (server->slow, FALSE, TRUE);
+      g_thread_pool_free (server->quick_pool, FALSE, TRUE);
+      g_thread_pool_free (server->slow_pool, FALSE, TRUE);
     }
-  take_returned (server);
+  take_answered (server);
   while (server->reading->len > 0)
-    drop (server, server->reading->len - 1);
+    drop_connection (server, server->reading->len - 1);
   g_ptr_array_unref (server->reading);
-  g_ptr_array_unref (server->returned);
+  g_ptr_array_unref (server->answered);
   close (server->listener);
-  close (server->wake);
+  close (server->wake_fd);
   g_mutex_clear (&server->lock);
   g_free (server->name);
   g_free (server);
--- a/net/peer_traffic.h
+++ b/net/peer_traffic.h
@@ -1,4 +1,4 @@
-/* Counting the frames of a server or a client, without a lock. */
+/* Counts the frames of a server or client, without a lock. */
 #ifndef MT_PEER_TRAFFIC_H
 #define MT_PEER_TRAFFIC_H
 
--- a/net/platform.c
+++ b/net/platform.c
@@ -5,13 +5,13 @@
 #include <jansson.h>
 #include <string.h>
 
-#define VALUE_BYTES        (2UL * 1024 * 1024)  /* a megabyte in base64, with its frame */
-#define LIST_BYTES         (32UL * 1024 * 1024) /* a shard of claims at its fullest */
-#define RECURSE            "?recurse"
-#define BREAKER_FAILURES   3
-#define BREAKER_FIRST_US   (250 * MT_MS)
-#define BREAKER_LONGEST_US (5 * MT_SECOND)
-#define WATCH_SLACK_US     (2 * MT_SECOND) /* the service may answer a watch a little late */
+#define MAX_VALUE_BYTES      (2UL * 1024 * 1024)  /* 1 MB in base64, with the JSON around it */
+#define MAX_LIST_BYTES       (32UL * 1024 * 1024) /* the largest shard of claims */
+#define RECURSE              "?recurse"
+#define BREAKER_FAILURES     3
+#define BREAKER_MIN_PAUSE_US (250 * MT_MS)
+#define BREAKER_MAX_PAUSE_US (5 * MT_SECOND)
+#define WATCH_SLACK_US       (2 * MT_SECOND) /* added to a watch's own wait */
 
 struct mt_platform
 {
@@ -22,28 +22,28 @@
   struct mt_store direct; /* without the breaker */
   struct mt_breaker *breaker;
   GMutex lock;         /* guards watched */
-  GHashTable *watched; /* key -> struct watched */
+  GHashTable *watched; /* key -> struct watch_state */
   guint64 calls;       /* atomic */
 };
 
 static enum mt_http_outcome
-call (struct mt_platform *platform,
-      const char *method,
-      const char *path,
-      struct mt_str body,
-      int64_t budget_us,
-      struct mt_arena *arena,
-      struct mt_http_answer *answer,
-      GError **error)
+call_service (struct mt_platform *platform,
+              const char *method,
+              const char *path,
+              struct mt_str body,
+              int64_t timeout_us,
+              struct mt_arena *arena,
+              struct mt_http_answer *answer,
+              GError **error)
 {
   struct mt_http_call request = {
     .method = method,
     .path = path,
     .body = body,
-    /* A write must not be repeated by neon: its second try would lose against its first. */
+    /* neon must not retry a write: the retry would conflict with the first attempt. */
     .new_connection = strcmp (method, "GET") != 0,
-    .deadline_us = mt_clock_now (platform->clock) + budget_us,
-    .max_answer_bytes = strstr (path, RECURSE) != NULL ? LIST_BYTES : VALUE_BYTES,
+    .deadline_us = mt_clock_now (platform->clock) + timeout_us,
+    .max_answer_bytes = strstr (path, RECURSE) != NULL ? MAX_LIST_BYTES : MAX_VALUE_BYTES,
   };
 
   __atomic_add_fetch (&platform->calls, 1, __ATOMIC_RELAXED);
@@ -58,7 +58,7 @@
 }
 
 static bool
-read_entry (const json_t *entry, struct mt_store_value *out)
+parse_entry (const json_t *entry, struct mt_store_value *out)
 {
   const char *key = json_string_value (json_object_get (entry, "Key"));
   const char *encoded = json_string_value (json_object_get (entry, "Value"));
@@ -78,7 +78,7 @@
 }
 
 static json_t *
-load_entries (const struct mt_http_answer *answer, GError **error)
+parse_entries (const struct mt_http_answer *answer, GError **error)
 {
   json_t *root = json_loadb (answer->body.data, answer->body.len, 0, NULL);
 
@@ -89,15 +89,16 @@
   return NULL;
 }
 
-/* An answer about another key has been crossed with another call's: believed, it would pass for
- * this key's value. */
+/* Checks that the answer is for the requested key: otherwise it belongs to another call, and its
+ * value would be taken for this key's. */
 static bool
-is_about (const struct mt_store_value *value, const char *key, GError **error)
+check_key (const struct mt_store_value *value, const char *key, GError **error)
 {
   if (strcmp (value->key, key) == 0)
     return true;
   g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
-               "the platform answered for key %s when asked for %s; look for a proxy in between",
+               "the platform answered for key %s when asked for %s; check for a proxy between "
+               "daemon and platform",
                value->key, key);
   return false;
 }
@@ -106,7 +107,7 @@
 get_path (struct mt_platform *platform,
           const char *path,
           const char *key,
-          int64_t budget_us,
+          int64_t timeout_us,
           struct mt_store_value *out,
           GError **error)
 {
@@ -116,7 +117,7 @@
   bool ok = false;
 
   *out = (struct mt_store_value){ 0 };
-  if (call (platform, "GET", path, MT_STR (""), budget_us, arena, &answer, error)
+  if (call_service (platform, "GET", path, MT_STR (""), timeout_us, arena, &answer, error)
       != MT_HTTP_COMPLETE)
     goto done;
   if (answer.status == 404)
@@ -129,13 +130,13 @@
       set_status_error (error, &answer, MT_ERROR_UNAVAILABLE);
       goto done;
     }
-  entries = load_entries (&answer, error);
+  entries = parse_entries (&answer, error);
   if (entries == NULL)
     goto done;
-  if (!read_entry (json_array_get (entries, 0), out))
+  if (!parse_entry (json_array_get (entries, 0), out))
     set_status_error (error, &answer, MT_ERROR_UNAVAILABLE);
   else
-    ok = is_about (out, key, error);
+    ok = check_key (out, key, error);
   if (!ok)
     mt_store_value_clear (out);
 done:
@@ -153,48 +154,48 @@
   return get_path (platform, path, key, platform->call_us, out, error);
 }
 
-/* What the service told at the end of a key's last watch. Its index is that of all keys that begin
- * with the key, which may lie above the key's own. */
-struct watched
+/* Result of a key's last watch. The service watches all keys with that prefix, so the index at
+ * which to wait may be higher than the key's own. */
+struct watch_state
 {
-  uint64_t index; /* the key's own */
-  uint64_t seen;  /* to wait at */
+  uint64_t index;      /* of the key */
+  uint64_t wait_index; /* at which the next watch waits */
 };
 
 static uint64_t
-index_to_wait_at (struct mt_platform *platform, const char *key, uint64_t index)
+get_wait_index (struct mt_platform *platform, const char *key, uint64_t index)
 {
-  const struct watched *watched;
+  const struct watch_state *state;
   uint64_t at = index;
 
   g_mutex_lock (&platform->lock);
-  watched = g_hash_table_lookup (platform->watched, key);
-  if (watched != NULL && watched->index == index)
-    at = watched->seen;
+  state = g_hash_table_lookup (platform->watched, key);
+  if (state != NULL && state->index == index)
+    at = state->wait_index;
   g_mutex_unlock (&platform->lock);
   return at;
 }
 
 static void
-note_watched (struct mt_platform *platform, const char *key, uint64_t index, uint64_t seen)
+record_watch (struct mt_platform *platform, const char *key, uint64_t index, uint64_t wait_index)
 {
-  struct watched *watched = g_new (struct watched, 1);
+  struct watch_state *state = g_new (struct watch_state, 1);
 
-  *watched = (struct watched){ index, seen };
+  *state = (struct watch_state){ index, wait_index };
   g_mutex_lock (&platform->lock);
-  g_hash_table_replace (platform->watched, g_strdup (key), watched);
+  g_hash_table_replace (platform->watched, g_strdup (key), state);
   g_mutex_unlock (&platform->lock);
 }
 
-/* Waits for the names of the keys alone: a watch that ends unchanged would else bring the value
- * each time, which with tables of 227 KB is three times what control may send. */
+/* Watches only the names of the keys: otherwise each watch that ends unchanged would return the
+ * value, which with tables of 227 KB is three times the traffic allowed for control. */
 static bool
-wait_for_names (struct mt_platform *platform,
-                const char *key,
-                uint64_t at,
-                int64_t wait_us,
-                unsigned long long *seen,
-                GError **error)
+watch_names (struct mt_platform *platform,
+             const char *key,
+             uint64_t at,
+             int64_t wait_us,
+             unsigned long long *wait_index,
+             GError **error)
 {
   g_autofree char *path = g_strdup_printf ("/v1/kv/%s?keys&index=%" G_GUINT64_FORMAT "&wait=%lldms",
                                            key, at, (long long) (wait_us / MT_MS));
@@ -203,12 +204,13 @@
   struct mt_str index = { NULL, 0 };
   bool ok = false;
 
-  if (call (platform, "GET", path, MT_STR (""), wait_us + WATCH_SLACK_US, arena, &answer, error)
+  if (call_service (platform, "GET", path, MT_STR (""), wait_us + WATCH_SLACK_US, arena, &answer,
+                    error)
       == MT_HTTP_COMPLETE)
     {
       if (answer.status == 200 || answer.status == 404)
         index = mt_http_header_find (answer.headers, answer.n_headers, MT_STR ("X-Consul-Index"));
-      ok = index.data != NULL && mt_str_to_u64 (index, seen);
+      ok = index.data != NULL && mt_str_to_u64 (index, wait_index);
       if (!ok)
         set_status_error (error, &answer, MT_ERROR_UNAVAILABLE);
     }
@@ -225,16 +227,16 @@
              GError **error)
 {
   struct mt_platform *platform = ctx;
-  uint64_t at = index_to_wait_at (platform, key, index);
-  unsigned long long seen = 0;
+  uint64_t at = get_wait_index (platform, key, index);
+  unsigned long long wait_index = 0;
 
   *out = (struct mt_store_value){ 0 };
-  /* By the protocol an index of 0 does not wait. */
+  /* In the protocol a watch at index 0 does not wait. */
   if (index == 0)
     return store_get (ctx, key, out, error);
-  if (!wait_for_names (platform, key, at, wait_us, &seen, error))
+  if (!watch_names (platform, key, at, wait_us, &wait_index, error))
     return false;
-  if (seen == at)
+  if (wait_index == at)
     {
       out->found = true;
       out->unchanged = true;
@@ -244,7 +246,7 @@
   if (!store_get (ctx, key, out, error))
     return false;
   out->unchanged = out->found && out->index == index;
-  note_watched (platform, key, out->index, seen);
+  record_watch (platform, key, out->index, wait_index);
   return true;
 }
 
@@ -259,20 +261,20 @@
   bool ok = false;
 
   *out = g_ptr_array_new_with_free_func (mt_store_value_free);
-  if (call (platform, "GET", path, MT_STR (""), platform->call_us, arena, &answer, error)
+  if (call_service (platform, "GET", path, MT_STR (""), platform->call_us, arena, &answer, error)
       != MT_HTTP_COMPLETE)
     goto done;
   ok = answer.status == 404;
   if (ok)
     goto done;
-  entries = load_entries (&answer, error);
+  entries = parse_entries (&answer, error);
   ok = entries != NULL;
   for (size_t i = 0; i < json_array_size (entries); i++)
     {
       struct mt_store_value *value = g_new0 (struct mt_store_value, 1);
 
       g_ptr_array_add (*out, value);
-      ok = ok && read_entry (json_array_get (entries, i), value)
+      ok = ok && parse_entry (json_array_get (entries, i), value)
            && g_str_has_prefix (value->key, prefix);
     }
 done:
@@ -283,9 +285,10 @@
   return ok;
 }
 
-/* The service answers a write with "true" or "false". Anything else tells nothing of it. */
+/* The service answers a write with "true" or "false". After any other answer the result is unknown,
+ * except that a 4xx status means failure. */
 static enum mt_store_write_result
-sort_write (const struct mt_http_answer *answer, GError **error)
+classify_write (const struct mt_http_answer *answer, GError **error)
 {
   if (answer->status == 200 && mt_str_has_prefix (answer->body, MT_STR ("true")))
     return MT_STORE_DONE;
@@ -306,7 +309,7 @@
   struct mt_http_answer answer;
   enum mt_store_write_result result = MT_STORE_UNKNOWN;
 
-  switch (call (platform, method, path, body, platform->call_us, arena, &answer, error))
+  switch (call_service (platform, method, path, body, platform->call_us, arena, &answer, error))
     {
     case MT_HTTP_NOT_SENT:
       result = MT_STORE_FAILED;
@@ -314,7 +317,7 @@
     case MT_HTTP_UNKNOWN:
       break;
     case MT_HTTP_COMPLETE:
-      result = sort_write (&answer, error);
+      result = classify_write (&answer, error);
       break;
     }
   mt_arena_destroy (arena);
@@ -347,8 +350,8 @@
   json_t *root = NULL;
   bool ok = false;
 
-  if (call (platform, "PUT", "/v1/session/create", mt_str_from (body), platform->call_us, arena,
-            &answer, error)
+  if (call_service (platform, "PUT", "/v1/session/create", mt_str_from (body), platform->call_us,
+                    arena, &answer, error)
       == MT_HTTP_COMPLETE)
     {
       root = json_loadb (answer.body.data, answer.body.len, 0, NULL);
@@ -371,7 +374,7 @@
   struct mt_http_answer answer;
   bool ok = false;
 
-  if (call (platform, "PUT", path, MT_STR (""), platform->call_us, arena, &answer, error)
+  if (call_service (platform, "PUT", path, MT_STR (""), platform->call_us, arena, &answer, error)
       == MT_HTTP_COMPLETE)
     {
       ok = answer.status == 200;
@@ -413,15 +416,16 @@
   .acquire = store_acquire,
 };
 
-/* Every user of the service gets it, so that nobody comes back to it in step with the others. */
+/* Each client of the service has its own randomly seeded breaker, so that clients don't return to
+ * it at the same time. */
 static struct mt_breaker *
 create_breaker (struct mt_platform *platform)
 {
   struct mt_breaker_options options = { .clock = platform->clock,
                                         .inner = &platform->direct,
                                         .failure_threshold = BREAKER_FAILURES,
-                                        .min_pause_us = BREAKER_FIRST_US,
-                                        .max_pause_us = BREAKER_LONGEST_US,
+                                        .min_pause_us = BREAKER_MIN_PAUSE_US,
+                                        .max_pause_us = BREAKER_MAX_PAUSE_US,
                                         .seed = g_random_int () };
 
   return mt_breaker_create (&options);
--- a/net/traffic.c
+++ b/net/traffic.c
@@ -5,7 +5,7 @@
 
 struct mt_traffic
 {
-  GArray *rows; /* struct mt_traffic_row; some twenty kinds */
+  GArray *rows; /* of struct mt_traffic_row; about twenty kinds */
 };
 
 struct mt_traffic *
@@ -27,9 +27,9 @@
 }
 
 static struct mt_traffic_row *
-row_of (struct mt_traffic *traffic, const char *kind)
+get_row (struct mt_traffic *traffic, const char *kind)
 {
-  struct mt_traffic_row fresh = { .kind = kind };
+  struct mt_traffic_row new_row = { .kind = kind };
 
   for (guint i = 0; i < traffic->rows->len; i++)
     {
@@ -38,7 +38,7 @@
       if (row->kind == kind || strcmp (row->kind, kind) == 0)
         return row;
     }
-  g_array_append_val (traffic->rows, fresh);
+  g_array_append_val (traffic->rows, new_row);
   return &g_array_index (traffic->rows, struct mt_traffic_row, traffic->rows->len - 1);
 }
 
@@ -49,7 +49,7 @@
 
   if (traffic == NULL || kind == NULL)
     return;
-  row = row_of (traffic, kind);
+  row = get_row (traffic, kind);
   row->sent++;
   row->bytes_out += bytes;
 }
@@ -61,7 +61,7 @@
 
   if (traffic == NULL || kind == NULL)
     return;
-  row = row_of (traffic, kind);
+  row = get_row (traffic, kind);
   row->received++;
   row->bytes_in += bytes;
 }
--- a/net/traffic.h
+++ b/net/traffic.h
@@ -1,5 +1,6 @@
-/* What this daemon sends and receives: messages and bytes of each kind. Bytes are those of bodies,
- * paths and headers as far as they are known here; what TCP adds is not in them. One thread. */
+/* Counts the messages and bytes that this daemon sends and receives, by kind. Bytes are those of
+ * bodies, paths and headers, as far as they are known here, without the overhead of TCP. Not
+ * thread-safe. */
 #ifndef MT_TRAFFIC_H
 #define MT_TRAFFIC_H
 
@@ -20,12 +21,13 @@
 struct mt_traffic *mt_traffic_create (void);
 void mt_traffic_destroy (struct mt_traffic *traffic);
 
-/* kind: a constant, kept by address. NULL for traffic or kind counts nothing. */
+/* kind: a constant string, which is not copied. If traffic or kind is NULL, nothing is counted. */
 void mt_traffic_add_sent (struct mt_traffic *traffic, const char *kind, size_t bytes);
 void mt_traffic_add_received (struct mt_traffic *traffic, const char *kind, size_t bytes);
 /* Sum of all kinds. */
 struct mt_traffic_row mt_traffic_total (const struct mt_traffic *traffic);
-/* Rows in the order in which their kinds came up; valid until the next message. */
+/* Returns the number of rows, and the rows in the order in which their kinds first occurred; valid
+ * until the next message is counted. */
 size_t mt_traffic_rows (const struct mt_traffic *traffic, const struct mt_traffic_row **rows);
 
 #endif
--- a/net/workers.c
+++ b/net/workers.c
@@ -5,8 +5,8 @@
 #include <jansson.h>
 #include <string.h>
 
-#define ANSWER_BYTES  (16UL * 1024 * 1024)
-#define WAIT_SLACK_US (2 * MT_SECOND)
+#define MAX_ANSWER_BYTES (16UL * 1024 * 1024)
+#define WAIT_SLACK_US    (2 * MT_SECOND)
 
 struct mt_workers
 {
@@ -77,37 +77,37 @@
 }
 
 static void
-start_news (struct mt_workers_updates *news)
+init_updates (struct mt_workers_updates *updates)
 {
-  news->index = 0;
-  news->workers = g_array_new (FALSE, TRUE, sizeof (struct mt_worker_update));
-  news->tasks = g_array_new (FALSE, TRUE, sizeof (struct mt_task_update));
-  g_array_set_clear_func (news->workers, clear_worker);
-  g_array_set_clear_func (news->tasks, clear_task);
+  updates->index = 0;
+  updates->workers = g_array_new (FALSE, TRUE, sizeof (struct mt_worker_update));
+  updates->tasks = g_array_new (FALSE, TRUE, sizeof (struct mt_task_update));
+  g_array_set_clear_func (updates->workers, clear_worker);
+  g_array_set_clear_func (updates->tasks, clear_task);
 }
 
 void
-mt_workers_updates_clear (struct mt_workers_updates *news)
+mt_workers_updates_clear (struct mt_workers_updates *updates)
 {
-  g_clear_pointer (&news->workers, g_array_unref);
-  g_clear_pointer (&news->tasks, g_array_unref);
+  g_clear_pointer (&updates->workers, g_array_unref);
+  g_clear_pointer (&updates->tasks, g_array_unref);
 }
 
 static json_t *
-call (struct mt_workers *workers,
-      const char *method,
-      const char *path,
-      struct mt_str body,
-      int64_t budget_us,
-      GError **error)
+call_service (struct mt_workers *workers,
+              const char *method,
+              const char *path,
+              struct mt_str body,
+              int64_t timeout_us,
+              GError **error)
 {
   struct mt_http_call request = {
     .method = method,
     .path = path,
     .body = body,
     .new_connection = strcmp (method, "GET") != 0,
-    .deadline_us = mt_clock_now (workers->clock) + budget_us,
-    .max_answer_bytes = ANSWER_BYTES,
+    .deadline_us = mt_clock_now (workers->clock) + timeout_us,
+    .max_answer_bytes = MAX_ANSWER_BYTES,
   };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer;
@@ -120,7 +120,7 @@
         root = json_loadb (answer.body.data, answer.body.len, 0, NULL);
       if (root == NULL)
         g_set_error (error, MT_ERROR, MT_ERROR_UNAVAILABLE,
-                     "the platform's workers answered %d, no JSON object; see its log",
+                     "the platform's workers service answered %d without JSON; see its log",
                      answer.status);
     }
   mt_arena_destroy (arena);
@@ -128,7 +128,7 @@
 }
 
 static uint32_t
-read_count (const json_t *object, const char *key)
+parse_count (const json_t *object, const char *key)
 {
   json_int_t value = json_integer_value (json_object_get (object, key));
 
@@ -136,28 +136,28 @@
 }
 
 static struct mt_job_resources
-read_size (const json_t *object)
+parse_resources (const json_t *object)
 {
-  struct mt_job_resources size
-      = { read_count (object, "cpu_milli"), read_count (object, "memory_mb"),
-          read_count (object, "accelerators") };
+  struct mt_job_resources resources
+      = { parse_count (object, "cpu_milli"), parse_count (object, "memory_mb"),
+          parse_count (object, "accelerators") };
 
-  return size;
+  return resources;
 }
 
 static char *
-read_name (const json_t *object, const char *key)
+parse_string (const json_t *object, const char *key)
 {
   return g_strdup (json_string_value (json_object_get (object, key)));
 }
 
 static bool
-read_worker (const json_t *object, GArray *out)
+parse_worker (const json_t *object, GArray *out)
 {
   struct mt_worker_update worker = {
-    .name = read_name (object, "name"),
-    .rack = read_name (object, "rack"),
-    .resources = read_size (object),
+    .name = parse_string (object, "name"),
+    .rack = parse_string (object, "rack"),
+    .resources = parse_resources (object),
     .lease = (uint64_t) json_integer_value (json_object_get (object, "lease")),
     .alive = json_is_true (json_object_get (object, "alive")),
   };
@@ -167,14 +167,14 @@
 }
 
 static bool
-read_task (const json_t *object, GArray *out)
+parse_task (const json_t *object, GArray *out)
 {
   const char *kind = json_string_value (json_object_get (object, "report"));
   struct mt_task_update task = {
-    .job = read_name (object, "job"),
-    .worker = read_name (object, "worker"),
+    .job = parse_string (object, "job"),
+    .worker = parse_string (object, "worker"),
     .epoch = (uint64_t) json_integer_value (json_object_get (object, "epoch")),
-    .usage = read_size (object),
+    .usage = parse_resources (object),
     .age_us = json_integer_value (json_object_get (object, "age_ms")) * MT_MS,
   };
   size_t i = 0;
@@ -187,7 +187,7 @@
 }
 
 static bool
-read_news (const json_t *root, struct mt_workers_updates *news)
+parse_updates (const json_t *root, struct mt_workers_updates *updates)
 {
   const json_t *workers = json_object_get (root, "workers");
   const json_t *tasks = json_object_get (root, "reports");
@@ -195,12 +195,12 @@
 
   if (!json_is_integer (index))
     return false;
-  news->index = (uint64_t) json_integer_value (index);
+  updates->index = (uint64_t) json_integer_value (index);
   for (size_t i = 0; i < json_array_size (workers); i++)
-    if (!read_worker (json_array_get (workers, i), news->workers))
+    if (!parse_worker (json_array_get (workers, i), updates->workers))
       return false;
   for (size_t i = 0; i < json_array_size (tasks); i++)
-    if (!read_task (json_array_get (tasks, i), news->tasks))
+    if (!parse_task (json_array_get (tasks, i), updates->tasks))
       return false;
   return true;
 }
@@ -209,28 +209,29 @@
 mt_workers_poll (struct mt_workers *workers,
                  uint64_t index,
                  int64_t wait_us,
-                 struct mt_workers_updates *news,
+                 struct mt_workers_updates *updates,
                  GError **error)
 {
   g_autofree char *path
       = g_strdup_printf ("/v1/workers?zone=%s&since=%" G_GUINT64_FORMAT "&wait=%lldms",
                          workers->zone, index, (long long) (wait_us / MT_MS));
-  json_t *root = call (workers, "GET", path, MT_STR (""), wait_us + WAIT_SLACK_US, error);
+  json_t *root = call_service (workers, "GET", path, MT_STR (""), wait_us + WAIT_SLACK_US, error);
   bool ok;
 
-  start_news (news);
+  init_updates (updates);
   if (root == NULL)
     return false;
-  ok = read_news (root, news);
+  ok = parse_updates (root, updates);
   json_decref (root);
   if (!ok)
-    g_set_error (error, MT_ERROR, MT_ERROR_SYNTAX,
-                 "the news of the platform's workers can't be read; see docs/jobs.md for its form");
+    g_set_error (
+        error, MT_ERROR, MT_ERROR_SYNTAX,
+        "the update of the platform's workers is malformed; see docs/jobs.md for the format");
   return ok;
 }
 
 static json_t *
-write_action (const struct mt_job_action *action)
+format_action (const struct mt_job_action *action)
 {
   return json_pack (
       "{ss ss ss sI sI si si si}", "action", action_names[action->kind], "job", action->job,
@@ -248,10 +249,10 @@
   char *text;
 
   for (guint i = 0; i < actions->len; i++)
-    json_array_append_new (list, write_action (&g_array_index (actions, struct mt_job_action, i)));
+    json_array_append_new (list, format_action (&g_array_index (actions, struct mt_job_action, i)));
   request = json_pack ("{ss so}", "zone", workers->zone, "actions", list);
   text = json_dumps (request, JSON_COMPACT);
-  reply = call (workers, "POST", "/v1/tasks", mt_str_from (text), workers->call_us, error);
+  reply = call_service (workers, "POST", "/v1/tasks", mt_str_from (text), workers->call_us, error);
   free (text);
   json_decref (request);
   json_decref (reply);
--- a/net/workers.h
+++ b/net/workers.h
@@ -1,7 +1,7 @@
-/* The platform's workers: which there are, what their tasks report, and what they are asked to do.
- * One call of mt_workers_poll waits for news of a whole data centre, one call of
- * mt_workers_send_actions carries a whole plan, so that calls follow rounds and not tasks.
- * docs/jobs.md has the protocol. Calls block; one thread at a time. */
+/* Client of the platform's workers service: lists the workers, receives the reports of their tasks,
+ * and sends them actions. One call of mt_workers_poll waits for updates of a whole data centre, and
+ * one call of mt_workers_send_actions carries a whole plan, so that the number of calls depends on
+ * rounds, not on tasks. docs/jobs.md describes the protocol. Calls block. Not thread-safe. */
 #ifndef MT_WORKERS_H
 #define MT_WORKERS_H
 
@@ -13,8 +13,8 @@
   char *name;
   char *rack;
   struct mt_job_resources resources;
-  uint64_t lease; /* grows each time the worker starts anew */
-  bool alive;     /* its lease has not lapsed */
+  uint64_t lease; /* increases whenever the worker restarts */
+  bool alive;     /* its lease has not expired */
 };
 
 struct mt_task_update
@@ -24,12 +24,12 @@
   char *worker;
   uint64_t epoch;
   struct mt_job_resources usage;
-  int64_t age_us; /* since it was measured */
+  int64_t age_us; /* time since the report was measured */
 };
 
 struct mt_workers_updates
 {
-  uint64_t index;  /* to pass on to the next poll */
+  uint64_t index;  /* for the next call of mt_workers_poll */
   GArray *workers; /* of struct mt_worker_update */
   GArray *tasks;   /* of struct mt_task_update */
 };
@@ -42,15 +42,16 @@
                                       const char *zone,
                                       int64_t call_us);
 void mt_workers_destroy (struct mt_workers *workers);
-/* What changed since index (0: everything), waiting up to wait_us for something to change. */
+/* Returns the changes since index (0: everything); waits up to wait_us for a change. The updates
+ * are to be cleared in either case. */
 bool mt_workers_poll (struct mt_workers *workers,
                       uint64_t index,
                       int64_t wait_us,
-                      struct mt_workers_updates *news,
+                      struct mt_workers_updates *updates,
                       GError **error);
-void mt_workers_updates_clear (struct mt_workers_updates *news);
-/* actions: of struct mt_job_action. False: some or all may not have reached their workers; the book
- * asks again for what nobody confirms. */
+void mt_workers_updates_clear (struct mt_workers_updates *updates);
+/* actions: of struct mt_job_action. On failure some or all may not have reached their workers;
+ * mt_jobs repeats the actions that are not confirmed. */
 bool mt_workers_send_actions (struct mt_workers *workers, const GArray *actions, GError **error);
 
 #endif
--- a/tests/net/prop_frame.cpp
+++ b/tests/net/prop_frame.cpp
@@ -1,4 +1,4 @@
-// Frames under any bytes: what was encoded comes back, and nothing else is ever taken for it.
+// Encoding and decoding of frames: round trips, and truncated or altered input.
 #include <rapidcheck.h>
 
 #include <string>
@@ -31,22 +31,22 @@
 {
   bool ok = true;
 
-  ok &= rc::check ("a frame comes back as it was sent", [] {
+  ok &= rc::check ("a decoded frame equals the encoded one", [] {
     const auto type = *rc::gen::inRange (1u, 16u);
     const auto body = *rc::gen::arbitrary<std::string> ();
-    const std::string whole = encode (type, "sender", body);
+    const std::string encoded = encode (type, "sender", body);
     mt_frame frame;
     size_t len = 0;
 
-    RC_ASSERT (mt_frame_length (whole.data (), &len, nullptr));
-    RC_ASSERT (len + MT_FRAME_HEADER_BYTES == whole.size ());
+    RC_ASSERT (mt_frame_length (encoded.data (), &len, nullptr));
+    RC_ASSERT (len + MT_FRAME_HEADER_BYTES == encoded.size ());
     RC_ASSERT (
-        mt_frame_decode (mt_str{ whole.data () + MT_FRAME_HEADER_BYTES, len }, &frame, nullptr));
+        mt_frame_decode (mt_str{ encoded.data () + MT_FRAME_HEADER_BYTES, len }, &frame, nullptr));
     RC_ASSERT (frame.type == type);
     RC_ASSERT (mt_str_equal (frame.body, view (body)));
     RC_ASSERT (mt_str_equal (frame.sender, MT_STR ("sender")));
   });
-  ok &= rc::check ("a cut or changed frame is refused, or is whole by itself", [] {
+  ok &= rc::check ("a truncated or altered frame is refused, or decoded within its bounds", [] {
     std::string payload = encode (1, "sender", *rc::gen::arbitrary<std::string> ()).substr (4);
     const auto at = *rc::gen::inRange<size_t> (0, payload.size ());
     GError *error = nullptr;
--- a/tests/net/scripted.c
+++ b/tests/net/scripted.c
@@ -16,15 +16,15 @@
   int listener;
   char address[32];
   GThread *acceptor;
-  GThread *threads[MAX_CONNECTIONS]; /* acceptor's, until joined */
-  GMutex lock;                       /* guards all below */
+  GThread *threads[MAX_CONNECTIONS]; /* written by the acceptor, until it is joined */
+  GMutex lock;                       /* guards the fields below */
   GCond changed;
   int fds[MAX_CONNECTIONS];
   unsigned n;
-  unsigned open;
+  unsigned n_open;
   enum script scripts[MAX_SCRIPTS];
   size_t n_scripts;
-  size_t played;
+  size_t n_played;
   unsigned requests;
   bool released;
 };
@@ -51,7 +51,7 @@
     }
 }
 
-/* Reads up to the end of the headers; the tests send bodies of at most a few bytes with them. */
+/* Reads a request with its body; the tests send bodies of at most a few bytes. */
 static bool
 read_request (int fd, GString *request)
 {
@@ -84,8 +84,8 @@
 
   g_mutex_lock (&scripted->lock);
   scripted->requests++;
-  script = scripted->scripts[MIN (scripted->played, scripted->n_scripts - 1)];
-  scripted->played++;
+  script = scripted->scripts[MIN (scripted->n_played, scripted->n_scripts - 1)];
+  scripted->n_played++;
   g_mutex_unlock (&scripted->lock);
   return script;
 }
@@ -100,22 +100,23 @@
 }
 
 static char *
-make_answer (const GString *request, bool with_id, bool crossed)
+make_answer (const GString *request, bool with_id, bool wrong_id)
 {
-  const char *at = strstr (request->str, ID_HEADER);
-  g_autofree char *id = at != NULL ? g_strndup (at, strcspn (at, "\r")) : g_strdup ("X-None: 1");
+  const char *id_header = strstr (request->str, ID_HEADER);
+  g_autofree char *id = id_header != NULL ? g_strndup (id_header, strcspn (id_header, "\r"))
+                                          : g_strdup ("X-None: 1");
   g_autofree char *body
-      = g_strdup_printf ("ok %s", at != NULL ? id + strlen (ID_HEADER) : "without id");
+      = g_strdup_printf ("ok %s", id_header != NULL ? id + strlen (ID_HEADER) : "without id");
 
   return g_strdup_printf ("HTTP/1.1 200 OK\r\n%s\r\nContent-Length: %zu\r\n\r\n%s",
-                          crossed   ? "Medlartrack-Request-Id: somebody-elses"
+                          wrong_id  ? "Medlartrack-Request-Id: somebody-elses"
                           : with_id ? id
                                     : "X-None: 1",
                           strlen (body), body);
 }
 
 static void
-send_without_end (int fd)
+send_oversized (int fd)
 {
   g_autofree char *chunk = g_strnfill (65536, 'x');
 
@@ -125,22 +126,21 @@
       return;
 }
 
-/* False: close. */
+/* Returns false if the connection is to be closed. */
 static bool
 play (struct scripted *scripted, int fd, const GString *request)
 {
   enum script script = next_script (scripted);
   g_autofree char *answer
-      = make_answer (request, script != SCRIPT_TWICE_BARE, script == SCRIPT_CROSSED);
+      = make_answer (request, script != SCRIPT_DUPLICATE_WITHOUT_ID, script == SCRIPT_WRONG_ID);
 
   if (script == SCRIPT_HELD)
     wait_for_release (scripted);
-  if (script == SCRIPT_PATIENT
-      && poll (&(struct pollfd){ .fd = fd, .events = POLLIN }, 1, 3000) > 0)
+  if (script == SCRIPT_SLOW && poll (&(struct pollfd){ .fd = fd, .events = POLLIN }, 1, 3000) > 0)
     return false;
   switch (script)
     {
-    case SCRIPT_CUT:
+    case SCRIPT_TRUNCATED:
       send_text (fd, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nstart");
       return false;
     case SCRIPT_CLOSE:
@@ -149,7 +149,7 @@
       send_text (fd, "HTTP/1.1 200 OK\r\n\r\nhalf an answ");
       return false;
     case SCRIPT_OVERSIZED:
-      send_without_end (fd);
+      send_oversized (fd);
       return false;
     case SCRIPT_REFUSED:
       send_text (fd, "HTTP/1.1 503 Full\r\nMedlartrack-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -165,14 +165,14 @@
       send_text (fd, "HTTP/1.1 200 OK\r\nmedlartrack-outcome: not-run\r\nX-Good: 1\r\n"
                      "Content-Length: 0\r\n\r\n");
       return true;
-    case SCRIPT_TWICE:
-    case SCRIPT_TWICE_BARE:
+    case SCRIPT_DUPLICATE:
+    case SCRIPT_DUPLICATE_WITHOUT_ID:
       send_text (fd, answer);
       break;
-    case SCRIPT_WHOLE:
-    case SCRIPT_CROSSED:
+    case SCRIPT_COMPLETE:
+    case SCRIPT_WRONG_ID:
     case SCRIPT_HELD:
-    case SCRIPT_PATIENT:
+    case SCRIPT_SLOW:
       break;
     }
   send_text (fd, answer);
@@ -190,7 +190,7 @@
     ;
   shutdown (connection->fd, SHUT_RDWR);
   g_mutex_lock (&connection->scripted->lock);
-  connection->scripted->open--;
+  connection->scripted->n_open--;
   g_cond_broadcast (&connection->scripted->changed);
   g_mutex_unlock (&connection->scripted->lock);
   g_string_free (request, TRUE);
@@ -214,7 +214,7 @@
       scripted->fds[scripted->n] = fd;
       scripted->threads[scripted->n] = g_thread_new ("scripted", serve, connection);
       scripted->n++;
-      scripted->open++;
+      scripted->n_open++;
       g_cond_broadcast (&scripted->changed);
       g_mutex_unlock (&scripted->lock);
     }
@@ -241,7 +241,7 @@
 }
 
 void
-scripted_vanish (struct scripted *scripted)
+scripted_shut_down (struct scripted *scripted)
 {
   if (scripted->acceptor == NULL)
     return;
@@ -260,7 +260,7 @@
 void
 scripted_destroy (struct scripted *scripted)
 {
-  scripted_vanish (scripted);
+  scripted_shut_down (scripted);
   g_mutex_clear (&scripted->lock);
   g_cond_clear (&scripted->changed);
   g_free (scripted);
@@ -273,12 +273,12 @@
 }
 
 void
-scripted_play (struct scripted *scripted, const enum script *scripts, size_t n)
+scripted_set_scripts (struct scripted *scripted, const enum script *scripts, size_t n)
 {
   g_mutex_lock (&scripted->lock);
   memcpy (scripted->scripts, scripts, n * sizeof *scripts);
   scripted->n_scripts = n;
-  scripted->played = 0;
+  scripted->n_played = 0;
   g_mutex_unlock (&scripted->lock);
 }
 
@@ -292,10 +292,10 @@
 }
 
 void
-scripted_wait_for_open (struct scripted *scripted, unsigned n)
+scripted_wait_for_connections (struct scripted *scripted, unsigned n)
 {
   g_mutex_lock (&scripted->lock);
-  while (scripted->open != n)
+  while (scripted->n_open != n)
     g_cond_wait (&scripted->changed, &scripted->lock);
   g_mutex_unlock (&scripted->lock);
 }
--- a/tests/net/scripted.h
+++ b/tests/net/scripted.h
@@ -1,5 +1,4 @@
-/* A minion that answers byte by byte as a test scripts it: what no well-behaved server would send.
- */
+/* A minion whose answers are scripted by the test, including malformed and malicious ones. */
 #ifndef MT_SCRIPTED_H
 #define MT_SCRIPTED_H
 
@@ -9,33 +8,33 @@
 
 enum script
 {
-  SCRIPT_WHOLE,       /* 200 with the request's id and its body "ok N", N counting requests */
-  SCRIPT_HEAD,        /* headers that announce 1,234 bytes, and no body */
-  SCRIPT_SPOOFED,     /* a whole answer that says "not run" in the daemon's words */
-  SCRIPT_CUT,         /* announces 100 bytes, sends 5, closes */
-  SCRIPT_CROSSED,     /* another request's id */
-  SCRIPT_TWICE,       /* the whole answer two times */
-  SCRIPT_TWICE_BARE,  /* the same without an id */
-  SCRIPT_OVERSIZED,   /* a body that does not end */
-  SCRIPT_CLOSE,       /* reads the request, then closes */
-  SCRIPT_UNDELIMITED, /* neither length nor chunks */
-  SCRIPT_REFUSED,     /* 503, says that it did not run */
-  SCRIPT_LEAVING,     /* the same, and that it leaves */
-  SCRIPT_PATIENT,     /* answers whole after 3 s, unless the other side hangs up before */
-  SCRIPT_HELD,        /* answers whole once scripted_release was called */
+  SCRIPT_COMPLETE,             /* 200 with the request's id, and the body "ok ID" */
+  SCRIPT_HEAD,                 /* headers with a Content-Length of 1,234, without a body */
+  SCRIPT_SPOOFED,              /* a complete answer with the daemon's own "not run" header */
+  SCRIPT_TRUNCATED,            /* announces 100 bytes, sends 5, then closes */
+  SCRIPT_WRONG_ID,             /* a complete answer with another request's id */
+  SCRIPT_DUPLICATE,            /* the complete answer, sent twice */
+  SCRIPT_DUPLICATE_WITHOUT_ID, /* the complete answer without an id, sent twice */
+  SCRIPT_OVERSIZED,            /* a body that exceeds any limit */
+  SCRIPT_CLOSE,                /* reads the request, then closes */
+  SCRIPT_UNDELIMITED,          /* neither Content-Length nor chunks */
+  SCRIPT_REFUSED,              /* 503, with the header that the request was not run */
+  SCRIPT_LEAVING,              /* like SCRIPT_REFUSED, with the header that the minion is leaving */
+  SCRIPT_SLOW,                 /* a complete answer after 3 s, unless the client closes before */
+  SCRIPT_HELD,                 /* a complete answer once scripted_release was called */
 };
 
 struct scripted *scripted_create (void);
 void scripted_destroy (struct scripted *scripted);
 const char *scripted_address (const struct scripted *scripted);
-/* For the next requests, one script each; the last one stays. */
-void scripted_play (struct scripted *scripted, const enum script *scripts, size_t n);
+/* Sets the scripts of the next requests, one each; the last one also applies to all later ones. */
+void scripted_set_scripts (struct scripted *scripted, const enum script *scripts, size_t n);
 void scripted_release (struct scripted *scripted);
 /* Closes all connections and the listener. */
-void scripted_vanish (struct scripted *scripted);
-/* Waits until so many connections are open. */
-void scripted_wait_for_open (struct scripted *scripted, unsigned n);
-/* Requests read in full. */
+void scripted_shut_down (struct scripted *scripted);
+/* Waits until exactly n connections are open. */
+void scripted_wait_for_connections (struct scripted *scripted, unsigned n);
+/* Number of requests received completely. */
 unsigned scripted_requests (struct scripted *scripted);
 
 #endif
--- a/tests/net/test_http_client.c
+++ b/tests/net/test_http_client.c
@@ -15,7 +15,7 @@
 
 #include <cmocka.h>
 
-#define MAX_ANSWER 1000
+#define MAX_ANSWER_BYTES 1000
 
 struct fixture
 {
@@ -24,9 +24,9 @@
   struct scripted *minion;
   struct mt_arena *arena;
   struct mt_http_answer answer;
-  GMutex lock; /* guards all below */
+  GMutex lock; /* guards the fields below */
   GCond changed;
-  unsigned ended;
+  unsigned completions;
 };
 
 static int
@@ -58,21 +58,21 @@
 }
 
 static struct mt_http_call
-make_call (struct mt_str id, bool fresh, int64_t within_us)
+make_call (struct mt_str id, bool new_connection, int64_t timeout_us)
 {
   return (struct mt_http_call){ .method = "POST",
                                 .path = "/invoices",
                                 .body = MT_STR ("x"),
-                                .new_connection = fresh,
+                                .new_connection = new_connection,
                                 .id = id,
-                                .deadline_us = mt_clock_now (mt_clock_system ()) + within_us,
-                                .max_answer_bytes = MAX_ANSWER };
+                                .deadline_us = mt_clock_now (mt_clock_system ()) + timeout_us,
+                                .max_answer_bytes = MAX_ANSWER_BYTES };
 }
 
 static enum mt_http_outcome
-ask (struct fixture *f, struct mt_str id, bool fresh)
+send_call (struct fixture *f, struct mt_str id, bool new_connection)
 {
-  struct mt_http_call call = make_call (id, fresh, 20 * MT_SECOND);
+  struct mt_http_call call = make_call (id, new_connection, 20 * MT_SECOND);
   g_autoptr (GError) error = NULL;
 
   return mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena, &f->answer,
@@ -85,15 +85,15 @@
   assert_true (mt_str_equal (f->answer.body, mt_str_from (body)));
 }
 
-/* The answer to HEAD has the length of what GET would get, and no body. */
+/* The answer to HEAD has the Content-Length of the answer to GET, but no body. */
 static void
-test_head_keeps_the_length (void **state)
+test_head_answer_keeps_content_length (void **state)
 {
   struct fixture *f = *state;
-  const enum script head = SCRIPT_HEAD;
+  const enum script script = SCRIPT_HEAD;
   struct mt_http_call call = make_call (MT_STR ("a"), true, 20 * MT_SECOND);
 
-  scripted_play (f->minion, &head, 1);
+  scripted_set_scripts (f->minion, &script, 1);
   call.method = "HEAD";
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
@@ -103,20 +103,20 @@
 }
 
 static void
-test_nobody_listens_is_not_sent (void **state)
+test_refused_connection_is_not_sent (void **state)
 {
   struct fixture *f = *state;
 
-  scripted_vanish (f->minion);
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_NOT_SENT);
-  assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_NOT_SENT);
+  scripted_shut_down (f->minion);
+  assert_int_equal (send_call (f, MT_STR ("a"), false), MT_HTTP_NOT_SENT);
+  assert_int_equal (send_call (f, MT_STR ("b"), true), MT_HTTP_NOT_SENT);
 }
 
-/* The minion's machine is gone without a word: the connection is never set up. Nothing can have
- * been sent, so the request may go elsewhere. A full backlog, in which the kernel drops what comes,
- * stands in for the machine. */
+/* The minion's machine has vanished without a reset, so the connection is never established.
+ * Nothing can have been sent, so the request may be retried elsewhere. Simulated by a full listen
+ * backlog, where the kernel drops connection attempts. */
 static void
-test_silent_machine_is_not_sent (void **state)
+test_connect_timeout_is_not_sent (void **state)
 {
   struct fixture *f = *state;
   struct sockaddr_in addr = { .sin_family = AF_INET };
@@ -143,80 +143,80 @@
   close (listener);
 }
 
-/* The minion answers one request, then its process is gone. The second request is written into the
- * kept connection, which may have been read; neon then fails to connect again. The caller must hear
- * "unknown": the failure to connect proves nothing about the bytes written before. */
+/* The minion's process ends after one answer. The second request is written to the kept connection,
+ * and may have been read, before neon fails to reconnect. The outcome must be "unknown": the
+ * failure to connect proves nothing about the bytes written before. */
 static void
 test_failed_reconnect_is_unknown (void **state)
 {
   struct fixture *f = *state;
 
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
-  scripted_vanish (f->minion);
-  assert_int_equal (ask (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
+  assert_int_equal (send_call (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
+  scripted_shut_down (f->minion);
+  assert_int_equal (send_call (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
 }
 
-/* The worst moment: the minion has read the whole request, and closes. On a kept connection neon
- * sends it again by itself, as the last lines show; a request that may not be repeated is read
- * once, though a kept connection lies ready. */
+/* Guards against running a request twice: the minion reads the complete request, then closes. On a
+ * kept connection neon sends it again, as the last lines show; a request that must not be repeated
+ * is received only once, even if a kept connection is available. */
 static void
-test_fresh_request_is_read_once (void **state)
+test_request_on_new_connection_is_sent_once (void **state)
 {
   struct fixture *f = *state;
-  const enum script scripts[] = { SCRIPT_WHOLE, SCRIPT_CLOSE };
+  const enum script scripts[] = { SCRIPT_COMPLETE, SCRIPT_CLOSE };
 
-  scripted_play (f->minion, scripts, 2);
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
-  assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_UNKNOWN);
+  scripted_set_scripts (f->minion, scripts, 2);
+  assert_int_equal (send_call (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
+  assert_int_equal (send_call (f, MT_STR ("b"), true), MT_HTTP_UNKNOWN);
   assert_int_equal (scripted_requests (f->minion), 2);
-  assert_int_equal (ask (f, MT_STR ("c"), false), MT_HTTP_UNKNOWN);
+  assert_int_equal (send_call (f, MT_STR ("c"), false), MT_HTTP_UNKNOWN);
   assert_int_equal (scripted_requests (f->minion), 4);
 }
 
-/* The caller sees no part of a broken answer, and the next request gets its own whole one. */
+/* The caller gets no part of an invalid answer, and the next request gets its own complete one. */
 static void
-test_broken_answers_are_unknown (void **state)
+test_invalid_answers_are_unknown (void **state)
 {
   struct fixture *f = *state;
-  const enum script broken[]
-      = { SCRIPT_CUT, SCRIPT_CROSSED, SCRIPT_OVERSIZED, SCRIPT_CLOSE, SCRIPT_UNDELIMITED };
+  const enum script invalid[]
+      = { SCRIPT_TRUNCATED, SCRIPT_WRONG_ID, SCRIPT_OVERSIZED, SCRIPT_CLOSE, SCRIPT_UNDELIMITED };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (broken); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid); i++)
     {
-      const enum script scripts[] = { broken[i], SCRIPT_WHOLE };
+      const enum script scripts[] = { invalid[i], SCRIPT_COMPLETE };
 
-      scripted_play (f->minion, scripts, 2);
-      assert_int_equal (ask (f, MT_STR ("a"), true), MT_HTTP_UNKNOWN);
-      assert_int_equal (ask (f, MT_STR ("b"), true), MT_HTTP_COMPLETE);
+      scripted_set_scripts (f->minion, scripts, 2);
+      assert_int_equal (send_call (f, MT_STR ("a"), true), MT_HTTP_UNKNOWN);
+      assert_int_equal (send_call (f, MT_STR ("b"), true), MT_HTTP_COMPLETE);
     }
   assert_true (mt_arena_used (f->arena) < 1000 * 1000);
 }
 
-/* The minion sends its answer twice. The second copy lies in the connection when the next request
- * goes out: that one must never be answered with it. */
+/* The minion sends its answer twice. The second copy is waiting in the connection when the next
+ * request is sent, and must not be taken for that request's answer. */
 static void
-test_answer_sent_twice_meets_nobody (void **state)
+test_duplicated_answer_is_not_reused (void **state)
 {
   struct fixture *f = *state;
-  const enum script with_id[] = { SCRIPT_TWICE, SCRIPT_WHOLE };
-  const enum script bare[] = { SCRIPT_TWICE_BARE, SCRIPT_WHOLE };
-
-  scripted_play (f->minion, with_id, 2);
-  assert_int_equal (ask (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
-  assert_int_equal (ask (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
-  /* The minion may still read b on the closed connection: the scripts to come are not for it. */
-  scripted_wait_for_open (f->minion, 0);
-  scripted_play (f->minion, bare, 2);
-  assert_int_equal (ask (f, MT_STR ("c"), false), MT_HTTP_COMPLETE);
+  const enum script with_id[] = { SCRIPT_DUPLICATE, SCRIPT_COMPLETE };
+  const enum script without_id[] = { SCRIPT_DUPLICATE_WITHOUT_ID, SCRIPT_COMPLETE };
+
+  scripted_set_scripts (f->minion, with_id, 2);
+  assert_int_equal (send_call (f, MT_STR ("a"), false), MT_HTTP_COMPLETE);
+  assert_int_equal (send_call (f, MT_STR ("b"), false), MT_HTTP_UNKNOWN);
+  /* The minion may still read b on the closed connection: b must not use the next scripts. */
+  scripted_wait_for_connections (f->minion, 0);
+  scripted_set_scripts (f->minion, without_id, 2);
+  assert_int_equal (send_call (f, MT_STR ("c"), false), MT_HTTP_COMPLETE);
   assert_body (f, "ok c");
-  assert_int_equal (ask (f, MT_STR ("d"), false), MT_HTTP_COMPLETE);
+  assert_int_equal (send_call (f, MT_STR ("d"), false), MT_HTTP_COMPLETE);
   assert_body (f, "ok d");
 }
 
-/* This daemon may hold one connection to the minion, and an idle one is kept. A request that needs
- * a fresh one takes its place: the minion never sees two kept. */
+/* With a limit of one connection to the minion, an idle one is kept. A request that needs a new
+ * connection replaces it, so the minion never has two kept ones. */
 static void
-test_connections_are_bounded (void **state)
+test_connections_are_limited (void **state)
 {
   struct fixture *f = *state;
   struct mt_http_call call = make_call (MT_STR ("a"), false, 20 * MT_SECOND);
@@ -225,76 +225,76 @@
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
                     MT_HTTP_COMPLETE);
-  scripted_wait_for_open (f->minion, 1);
+  scripted_wait_for_connections (f->minion, 1);
   call.new_connection = true;
   assert_int_equal (mt_http_client_call (f->client, scripted_address (f->minion), &call, f->arena,
                                          &f->answer, NULL),
                     MT_HTTP_COMPLETE);
-  scripted_wait_for_open (f->minion, 0);
+  scripted_wait_for_connections (f->minion, 0);
 }
 
 static void
-count_end (void *ctx, enum mt_http_outcome outcome, const struct mt_http_answer *answer)
+count_completion (void *ctx, enum mt_http_outcome outcome, const struct mt_http_answer *answer)
 {
   struct fixture *f = ctx;
 
   g_mutex_lock (&f->lock);
-  f->ended++;
+  f->completions++;
   g_cond_signal (&f->changed);
   g_mutex_unlock (&f->lock);
 }
 
 static enum mt_http_outcome
-exchange (struct fixture *f, struct mt_str id, int64_t within_us, GError **error)
+exchange (struct fixture *f, struct mt_str id, int64_t timeout_us, GError **error)
 {
-  struct mt_http_call call = make_call (id, false, within_us);
+  struct mt_http_call call = make_call (id, false, timeout_us);
 
   return mt_http_exchanges_call (f->exchanges, scripted_address (f->minion), &call,
-                                 (struct mt_http_completion){ count_end, f }, f->arena, &f->answer,
-                                 error);
+                                 (struct mt_http_completion){ count_completion, f }, f->arena,
+                                 &f->answer, error);
 }
 
-/* One route allows a second, another twenty; the minion takes three. neon keeps a connection's
- * timeout as it was when it was opened: the second request must not be cut by the first one's. */
+/* One route allows 1 s, another 20 s, and the minion takes 3 s. neon sets a connection's timeout
+ * when opening it: the timeout of the first request must not cut off the second one. */
 static void
-test_short_deadline_cuts_no_later_request (void **state)
+test_short_deadline_does_not_limit_later_requests (void **state)
 {
   struct fixture *f = *state;
-  const enum script scripts[] = { SCRIPT_WHOLE, SCRIPT_PATIENT };
+  const enum script scripts[] = { SCRIPT_COMPLETE, SCRIPT_SLOW };
 
-  scripted_play (f->minion, scripts, 2);
+  scripted_set_scripts (f->minion, scripts, 2);
   assert_int_equal (exchange (f, MT_STR ("a"), MT_SECOND, NULL), MT_HTTP_COMPLETE);
   assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_COMPLETE);
-  assert_int_equal (f->ended, 2);
+  assert_int_equal (f->completions, 2);
 }
 
-/* The minion answers only after the caller was told "unknown" at its deadline. The slot is given
- * back when the late answer came, not before, and the next request does not meet that answer. */
+/* The minion answers only after the caller got "unknown" at its deadline. The completion is called
+ * when the late answer arrives, not before, and the next request does not get that answer. */
 static void
-test_late_answer (void **state)
+test_late_answer_is_discarded (void **state)
 {
   struct fixture *f = *state;
-  const enum script scripts[] = { SCRIPT_HELD, SCRIPT_WHOLE };
+  const enum script scripts[] = { SCRIPT_HELD, SCRIPT_COMPLETE };
   g_autoptr (GError) error = NULL;
 
-  scripted_play (f->minion, scripts, 2);
+  scripted_set_scripts (f->minion, scripts, 2);
   assert_int_equal (exchange (f, MT_STR ("a"), 200 * MT_MS, &error), MT_HTTP_UNKNOWN);
   assert_true (g_error_matches (error, MT_ERROR, MT_ERROR_TIMEOUT));
   g_mutex_lock (&f->lock);
-  assert_int_equal (f->ended, 0);
+  assert_int_equal (f->completions, 0);
   g_mutex_unlock (&f->lock);
   assert_int_equal (exchange (f, MT_STR ("b"), 20 * MT_SECOND, NULL), MT_HTTP_COMPLETE);
   assert_body (f, "ok b");
   scripted_release (f->minion);
   g_mutex_lock (&f->lock);
-  while (f->ended < 2)
+  while (f->completions < 2)
     g_cond_wait (&f->changed, &f->lock);
   g_mutex_unlock (&f->lock);
 }
 
-/* The request's memory can't hold the answer: the outcome is typed, nothing leaks. */
+/* An answer that exceeds the request's memory limit gives a typed error, and leaks nothing. */
 static void
-test_answer_beyond_memory (void **state)
+test_answer_beyond_memory_limit_fails (void **state)
 {
   struct fixture *f = *state;
   struct mt_arena *small = mt_arena_create (64);
@@ -304,24 +304,26 @@
   f->arena = small;
   assert_int_equal (exchange (f, MT_STR ("a"), 20 * MT_SECOND, &error), MT_HTTP_UNKNOWN);
   assert_true (g_error_matches (error, MT_ERROR, MT_ERROR_LIMIT));
-  assert_int_equal (f->ended, 1);
+  assert_int_equal (f->completions, 1);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_nobody_listens_is_not_sent, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_head_keeps_the_length, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_machine_is_not_sent, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_refused_connection_is_not_sent, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_head_answer_keeps_content_length, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_connect_timeout_is_not_sent, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_failed_reconnect_is_unknown, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_fresh_request_is_read_once, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_broken_answers_are_unknown, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_answer_sent_twice_meets_nobody, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_connections_are_bounded, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_short_deadline_cuts_no_later_request, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_late_answer, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_answer_beyond_memory, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_request_on_new_connection_is_sent_once, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_invalid_answers_are_unknown, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_duplicated_answer_is_not_reused, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_connections_are_limited, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_short_deadline_does_not_limit_later_requests, set_up,
+                                     tear_down),
+    cmocka_unit_test_setup_teardown (test_late_answer_is_discarded, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_answer_beyond_memory_limit_fails, set_up, tear_down),
   };
 
   return cmocka_run_group_tests_name ("http-client", tests, NULL, NULL);
--- a/tests/net/test_http_server.c
+++ b/tests/net/test_http_server.c
@@ -13,23 +13,23 @@
 
 #include <cmocka.h>
 
-#define IDLE_S     1
-#define BODY_BYTES 1000
-#define PATIENCE   (30 * 1000) /* ms; for waits on events */
+#define IDLE_TIMEOUT_S 1
+#define MAX_BODY_BYTES 1000
+#define WAIT_LIMIT_MS  (30 * 1000) /* limit of waits for events */
 
 struct fixture
 {
   struct mt_http_server *server;
-  GMutex lock; /* guards all below */
+  GMutex lock; /* guards the fields below */
   GCond changed;
   unsigned handled;
   bool hold;
-  bool wait_until_gone;
-  bool saw_gone;
-  size_t big; /* bytes of the answer's body; 0: "whole" */
+  bool wait_for_abort;
+  bool saw_abort;
+  size_t large_body_bytes; /* size of the answer's body; 0: the body is "whole" */
 };
 
-/* Answers with hostile headers, after it was let go. */
+/* Answers with headers that try to inject others, once hold is false. */
 static void
 handle (void *ctx, struct mt_http_request *request)
 {
@@ -43,9 +43,9 @@
   g_cond_broadcast (&f->changed);
   while (f->hold)
     g_cond_wait (&f->changed, &f->lock);
-  while (f->wait_until_gone && !mt_http_request_is_aborted (request))
+  while (f->wait_for_abort && !mt_http_request_is_aborted (request))
     g_cond_wait_until (&f->changed, &f->lock, g_get_monotonic_time () + G_USEC_PER_SEC / 100);
-  f->saw_gone = mt_http_request_is_aborted (request);
+  f->saw_abort = mt_http_request_is_aborted (request);
   g_cond_broadcast (&f->changed);
   g_mutex_unlock (&f->lock);
   request->answer = (struct mt_http_answer){
@@ -53,8 +53,9 @@
   };
   if (mt_str_equal (request->method, MT_STR ("HEAD")))
     request->answer.content_length = 1234;
-  if (f->big > 0)
-    request->answer.body = (struct mt_str){ mt_arena_alloc (request->arena, f->big), f->big };
+  if (f->large_body_bytes > 0)
+    request->answer.body = (struct mt_str){ mt_arena_alloc (request->arena, f->large_body_bytes),
+                                            f->large_body_bytes };
 }
 
 static int
@@ -64,8 +65,8 @@
   struct mt_http_server_options options = {
     .address = "127.0.0.1:0",
     .max_connections = 16,
-    .idle_timeout_s = IDLE_S,
-    .max_body_bytes = BODY_BYTES,
+    .idle_timeout_s = IDLE_TIMEOUT_S,
+    .max_body_bytes = MAX_BODY_BYTES,
     .max_request_memory_bytes = 100 * 1000 * 1000,
     .clock = mt_clock_system (),
     .handle = handle,
@@ -91,7 +92,7 @@
 }
 
 static int
-dial (struct fixture *f)
+connect_to_server (struct fixture *f)
 {
   g_autofree char *text = g_strdup_printf ("127.0.0.1:%u", mt_http_server_port (f->server));
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -103,29 +104,29 @@
 }
 
 static void
-say (int fd, const char *text)
+send_text (int fd, const char *text)
 {
   assert_int_equal (send (fd, text, strlen (text), MSG_NOSIGNAL), strlen (text));
 }
 
-/* All that comes until the other side closes, or until the text ends with `until`. */
+/* Receives until the server closes the connection, or until the text ends with a given `until`. */
 static char *
-hear (int fd, const char *until)
+receive (int fd, const char *until)
 {
-  GString *heard = g_string_new (NULL);
+  GString *received = g_string_new (NULL);
   char chunk[4096];
   ssize_t n = 1;
 
-  while (n > 0 && (until == NULL || !g_str_has_suffix (heard->str, until)))
+  while (n > 0 && (until == NULL || !g_str_has_suffix (received->str, until)))
     {
       struct pollfd wait = { .fd = fd, .events = POLLIN };
 
-      assert_int_equal (poll (&wait, 1, PATIENCE), 1);
+      assert_int_equal (poll (&wait, 1, WAIT_LIMIT_MS), 1);
       n = recv (fd, chunk, sizeof chunk, 0);
       if (n > 0)
-        g_string_append_len (heard, chunk, n);
+        g_string_append_len (received, chunk, n);
     }
-  return g_string_free (heard, FALSE);
+  return g_string_free (received, FALSE);
 }
 
 static void
@@ -146,7 +147,7 @@
   g_mutex_unlock (&f->lock);
 }
 
-/* Each of these is refused with a 4xx, and none of them reaches the handler. */
+/* Each request is refused with a 4xx status and never reaches the handler. */
 static void
 test_malformed_requests_are_refused (void **state)
 {
@@ -169,11 +170,11 @@
   for (size_t i = 0; i < G_N_ELEMENTS (requests); i++)
     {
       g_autofree char *answer = NULL;
-      int fd = dial (f);
+      int fd = connect_to_server (f);
 
-      say (fd, requests[i]);
+      send_text (fd, requests[i]);
       shutdown (fd, SHUT_WR);
-      answer = hear (fd, NULL);
+      answer = receive (fd, NULL);
       if (!g_str_has_prefix (answer, "HTTP/1.1 4"))
         fail_msg ("request %zu was answered: %s", i, answer);
       close (fd);
@@ -188,37 +189,37 @@
   g_autofree char *long_value = g_strnfill (64 * 1024, 'x');
   g_autofree char *answer = NULL;
   g_autoptr (GString) many = g_string_new ("GET / HTTP/1.1\r\nHost: x\r\n");
-  int fd = dial (f);
+  int fd = connect_to_server (f);
 
   for (int i = 0; i < 100; i++)
     g_string_append_printf (many, "X-%d: 1\r\n", i);
   g_string_append (many, "\r\n");
-  say (fd, many->str);
-  answer = hear (fd, NULL);
+  send_text (fd, many->str);
+  answer = receive (fd, NULL);
   assert_true (g_str_has_prefix (answer, "HTTP/1.1 431"));
   close (fd);
   g_clear_pointer (&answer, g_free);
-  fd = dial (f);
-  say (fd, "GET / HTTP/1.1\r\nHost: x\r\nX-Long: ");
+  fd = connect_to_server (f);
+  send_text (fd, "GET / HTTP/1.1\r\nHost: x\r\nX-Long: ");
   send (fd, long_value, strlen (long_value), MSG_NOSIGNAL);
-  answer = hear (fd, NULL);
+  answer = receive (fd, NULL);
   assert_true (g_str_has_prefix (answer, "HTTP/1.1 431"));
   close (fd);
   assert_int_equal (f->handled, 0);
 }
 
-/* The handler's answer carries line ends in a header's name and value: they don't come out. The
- * caller has shut its sending side, and is answered all the same. */
+/* Guards against header injection: headers of the handler's answer with line ends in name or value
+ * are not sent. The caller has shut down its sending side, and is still answered. */
 static void
-test_half_closed_caller_gets_a_clean_answer (void **state)
+test_half_closed_caller_gets_sanitized_answer (void **state)
 {
   struct fixture *f = *state;
   g_autofree char *answer = NULL;
-  int fd = dial (f);
+  int fd = connect_to_server (f);
 
-  say (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  send_text (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   shutdown (fd, SHUT_WR);
-  answer = hear (fd, NULL);
+  answer = receive (fd, NULL);
   assert_true (g_str_has_prefix (answer, "HTTP/1.1 200"));
   assert_true (g_str_has_suffix (answer, "whole"));
   assert_non_null (strstr (answer, "X-Good"));
@@ -226,75 +227,75 @@
   close (fd);
 }
 
-/* The caller sends one byte now and then, so that it is never silent for long. It is cut before its
- * request is whole, and the handler has not seen it. */
+/* The caller sends single bytes at intervals, so that it is never idle for long. It is disconnected
+ * before its request is complete, and the handler is not called. */
 static void
-test_trickling_caller_is_cut (void **state)
+test_slow_sender_is_disconnected (void **state)
 {
   struct fixture *f = *state;
-  int fd = dial (f);
+  int fd = connect_to_server (f);
   struct pollfd wait = { .fd = fd, .events = POLLIN };
   ssize_t sent = 1;
 
-  say (fd, "GET / HTTP/1.1\r\nHost: x\r\nX-Slow: ");
-  for (int i = 0; i < PATIENCE / 100 && sent == 1 && poll (&wait, 1, 100) == 0; i++)
+  send_text (fd, "GET / HTTP/1.1\r\nHost: x\r\nX-Slow: ");
+  for (int i = 0; i < WAIT_LIMIT_MS / 100 && sent == 1 && poll (&wait, 1, 100) == 0; i++)
     sent = send (fd, "a", 1, MSG_NOSIGNAL);
   assert_true (sent != 1 || recv (fd, &(char){ 0 }, 1, 0) <= 0);
   assert_int_equal (f->handled, 0);
   close (fd);
 }
 
-/* The caller resets its connection while its request waits: whoever holds the request can tell. */
+/* The caller resets its connection while its request is being handled; the handler detects that. */
 static void
-test_vanished_caller_is_seen (void **state)
+test_aborted_request_is_detected (void **state)
 {
   struct fixture *f = *state;
   const struct linger reset = { .l_onoff = 1, .l_linger = 0 };
-  int fd = dial (f);
+  int fd = connect_to_server (f);
 
-  f->wait_until_gone = true;
-  say (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  f->wait_for_abort = true;
+  send_text (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   wait_for_handled (f, 1);
   setsockopt (fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   close (fd);
   g_mutex_lock (&f->lock);
-  while (!f->saw_gone)
+  while (!f->saw_abort)
     g_cond_wait (&f->changed, &f->lock);
   g_mutex_unlock (&f->lock);
 }
 
 static void
-test_head_keeps_the_length (void **state)
+test_head_answer_keeps_content_length (void **state)
 {
   struct fixture *f = *state;
   g_autofree char *answer = NULL;
-  int fd = dial (f);
+  int fd = connect_to_server (f);
 
-  say (fd, "HEAD / HTTP/1.1\r\nHost: x\r\n\r\n");
+  send_text (fd, "HEAD / HTTP/1.1\r\nHost: x\r\n\r\n");
   shutdown (fd, SHUT_WR);
-  answer = hear (fd, NULL);
+  answer = receive (fd, NULL);
   assert_non_null (strstr (answer, "Content-Length: 1234"));
   assert_true (g_str_has_suffix (answer, "\r\n\r\n"));
   close (fd);
 }
 
-/* The caller asks for more than fits into the sockets' buffers and reads nothing. It is cut, so
- * that a graceful stop ends. */
+/* The caller requests more than fits into the socket buffers and reads nothing. It is disconnected,
+ * so that a graceful stop completes. */
 static void
-test_caller_that_reads_nothing_is_cut (void **state)
+test_non_reading_caller_is_disconnected (void **state)
 {
   struct fixture *f = *state;
-  int fd = dial (f);
+  int fd = connect_to_server (f);
 
-  f->big = 50UL * 1000 * 1000;
-  say (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  f->large_body_bytes = 50UL * 1000 * 1000;
+  send_text (fd, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   wait_for_handled (f, 1);
   mt_http_server_stop (f->server, 0);
   close (fd);
 }
 
 static gpointer
-stop (gpointer data)
+stop_server (gpointer data)
 {
   struct fixture *f = data;
 
@@ -302,35 +303,36 @@
   return NULL;
 }
 
-/* A request is in flight and a kept connection idle when the stop begins. The first is answered in
- * full however long it takes, with "Connection: close"; the idle one is closed. */
+/* A request is in flight and a kept connection is idle when the stop begins. The request is
+ * answered completely, however long it takes, with "Connection: close"; the idle connection is
+ * closed. */
 static void
-test_stop_cuts_nothing (void **state)
+test_stop_completes_requests_in_flight (void **state)
 {
   struct fixture *f = *state;
   g_autofree char *first = NULL;
   g_autofree char *held = NULL;
   g_autofree char *rest = NULL;
   GThread *thread;
-  int idle = dial (f);
-  int busy = dial (f);
+  int idle = connect_to_server (f);
+  int in_flight = connect_to_server (f);
 
-  say (idle, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-  first = hear (idle, "whole");
+  send_text (idle, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  first = receive (idle, "whole");
   assert_true (g_str_has_suffix (first, "whole"));
   set_hold (f, true);
-  say (busy, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  send_text (in_flight, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   wait_for_handled (f, 2);
-  thread = g_thread_new ("stop", stop, f);
-  rest = hear (idle, NULL);
+  thread = g_thread_new ("stop", stop_server, f);
+  rest = receive (idle, NULL);
   assert_string_equal (rest, "");
   set_hold (f, false);
-  held = hear (busy, NULL);
+  held = receive (in_flight, NULL);
   assert_true (g_str_has_suffix (held, "whole"));
   assert_non_null (strstr (held, "Connection: close"));
   g_thread_join (thread);
   close (idle);
-  close (busy);
+  close (in_flight);
 }
 
 int
@@ -339,13 +341,13 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test_setup_teardown (test_malformed_requests_are_refused, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_header_limits, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_half_closed_caller_gets_a_clean_answer, set_up,
+    cmocka_unit_test_setup_teardown (test_half_closed_caller_gets_sanitized_answer, set_up,
                                      tear_down),
-    cmocka_unit_test_setup_teardown (test_trickling_caller_is_cut, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_vanished_caller_is_seen, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_head_keeps_the_length, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_caller_that_reads_nothing_is_cut, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_stop_cuts_nothing, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_slow_sender_is_disconnected, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_aborted_request_is_detected, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_head_answer_keeps_content_length, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_non_reading_caller_is_disconnected, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_stop_completes_requests_in_flight, set_up, tear_down),
   };
 
   return cmocka_run_group_tests_name ("http-server", tests, NULL, NULL);
