--- a/tests/net/test_peer.c
+++ b/tests/net/test_peer.c
@@ -13,7 +13,7 @@
 
 #include <cmocka.h>
 
-#define LIMIT_US (20 * MT_SECOND) /* generous: a test that gets near it has failed */
+#define CALL_TIMEOUT_US (20 * MT_SECOND) /* much longer than any call that succeeds */
 
 static char *
 echo (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
@@ -26,7 +26,7 @@
 }
 
 static char *
-hang_up (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
+close_unanswered (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
 {
   g_atomic_int_inc ((gint *) ctx);
   return NULL;
@@ -36,7 +36,7 @@
 {
   struct mt_peer_server *server;
   struct mt_peer_client *client;
-  gint hung_up;
+  gint n_unanswered;
   char address[32];
 };
 
@@ -47,7 +47,7 @@
 
   f->server = mt_peer_server_create ("127.0.0.1:0", "server", NULL);
   mt_peer_server_set_handler (f->server, MT_PEER_HEARTBEAT, echo, NULL);
-  mt_peer_server_set_handler (f->server, MT_PEER_CLAIM, hang_up, &f->hung_up);
+  mt_peer_server_set_handler (f->server, MT_PEER_CLAIM, close_unanswered, &f->n_unanswered);
   mt_peer_server_start (f->server);
   g_snprintf (f->address, sizeof f->address, "127.0.0.1:%u", mt_peer_server_port (f->server));
   f->client = mt_peer_client_create (mt_clock_system (), "client");
@@ -72,7 +72,8 @@
   char *reply = NULL;
   size_t len = 0;
   bool ok = mt_peer_client_call (f->client, f->address, type, body,
-                                 mt_clock_now (mt_clock_system ()) + LIMIT_US, &reply, &len, error);
+                                 mt_clock_now (mt_clock_system ()) + CALL_TIMEOUT_US, &reply, &len,
+                                 error);
 
   if (ok)
     assert_true (mt_str_equal (body, (struct mt_str){ reply, len }));
@@ -103,9 +104,8 @@
   assert_true (call (f, MT_PEER_HEARTBEAT, mt_str_from (large), NULL));
 }
 
-/* The caller of a peer that isn't there must learn that nothing was delivered, and the caller of
- * one that took the call and hung up that it may have been: the first may be tried elsewhere, the
- * second must not. */
+/* A call to an absent peer must fail as not delivered, and a call that the peer read before closing
+ * the connection as unknown: the first may be retried elsewhere, the second must not. */
 static void
 test_not_delivered_differs_from_unknown (void **state)
 {
@@ -115,22 +115,22 @@
 
   assert_false (call (f, MT_PEER_CLAIM, MT_STR ("claim"), &unknown));
   assert_true (g_error_matches (unknown, MT_ERROR, MT_ERROR_UNKNOWN));
-  assert_int_equal (g_atomic_int_get (&f->hung_up), 1);
+  assert_int_equal (g_atomic_int_get (&f->n_unanswered), 1);
   mt_peer_server_destroy (g_steal_pointer (&f->server));
   assert_false (call (f, MT_PEER_CLAIM, MT_STR ("claim"), &absent));
   assert_true (g_error_matches (absent, MT_ERROR, MT_ERROR_UNAVAILABLE));
 }
 
-/* A peer that announces two gigabytes, speaks another protocol or sends rubbish is hung up on at
- * once, and the others are served meanwhile. */
+/* The connection of a peer that announces two gigabytes, speaks another protocol or sends malformed
+ * data is closed at once, and other peers are still served. */
 static void
-test_hostile_peer_is_hung_up_on (void **state)
+test_malformed_frames_close_the_connection (void **state)
 {
   static const char *const frames[] = {
     "\x7f\xff\xff\xff",                     /* two gigabytes */
-    "GET / HTTP/1.1\r\n\r\n",               /* another protocol altogether */
+    "GET / HTTP/1.1\r\n\r\n",               /* HTTP */
     "\x00\x00\x00\x05\xdd\xff\xff\xff\xff", /* an array of four thousand million */
-    "\x00\x00\x00\x05\x94\x02\x01\xa0\xc4", /* protocol 2, cut */
+    "\x00\x00\x00\x05\x94\x02\x01\xa0\xc4", /* protocol 2, truncated */
   };
   static const size_t lengths[] = { 4, 18, 9, 9 };
   struct fixture *f = *state;
@@ -147,9 +147,9 @@
     }
 }
 
-/* Silent connections past the limit don't shut an honest peer out: the oldest makes room. */
+/* Silent connections beyond the limit don't block a legitimate peer: the oldest one is closed. */
 static void
-test_silent_connections_do_not_shut_others_out (void **state)
+test_silent_connections_do_not_block_others (void **state)
 {
   struct fixture *f = *state;
   int fds[600];
@@ -172,7 +172,7 @@
 }
 
 static void
-test_frames_are_refused_with_typed_errors (void **state)
+test_malformed_frames_give_typed_errors (void **state)
 {
   char bomb[64];
 
@@ -194,10 +194,10 @@
     cmocka_unit_test_setup_teardown (test_call_is_answered_over_a_kept_connection, set_up,
                                      tear_down),
     cmocka_unit_test_setup_teardown (test_not_delivered_differs_from_unknown, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_hostile_peer_is_hung_up_on, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_silent_connections_do_not_shut_others_out, set_up,
+    cmocka_unit_test_setup_teardown (test_malformed_frames_close_the_connection, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_silent_connections_do_not_block_others, set_up,
                                      tear_down),
-    cmocka_unit_test (test_frames_are_refused_with_typed_errors),
+    cmocka_unit_test (test_malformed_frames_give_typed_errors),
   };
 
   return cmocka_run_group_tests_name ("peer", tests, NULL, NULL);
--- a/tests/net/test_traffic.c
+++ b/tests/net/test_traffic.c
@@ -7,7 +7,7 @@
 #include <cmocka.h>
 
 static void
-test_kinds_are_counted_apart (void **state)
+test_kinds_are_counted_separately (void **state)
 {
   struct mt_traffic *traffic = mt_traffic_create ();
   char other_start[] = "start";
@@ -29,7 +29,7 @@
 }
 
 static void
-test_nobody_counts_nothing (void **state)
+test_null_traffic_or_kind_counts_nothing (void **state)
 {
   struct mt_traffic *traffic = mt_traffic_create ();
   const struct mt_traffic_row *rows;
@@ -44,8 +44,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_kinds_are_counted_apart),
-    cmocka_unit_test (test_nobody_counts_nothing),
+    cmocka_unit_test (test_kinds_are_counted_separately),
+    cmocka_unit_test (test_null_traffic_or_kind_counts_nothing),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/path/test_front.c
+++ b/tests/path/test_front.c
@@ -128,7 +128,7 @@
 set_scripts (struct fixture *f, enum script script)
 {
   for (int i = 0; i < N_MINIONS; i++)
-    scripted_play (f->minions[i], &script, 1);
+    scripted_set_scripts (f->minions[i], &script, 1);
 }
 
 static unsigned
@@ -174,7 +174,7 @@
 {
   struct fixture *f = *state;
 
-  set_scripts (f, SCRIPT_WHOLE);
+  set_scripts (f, SCRIPT_COMPLETE);
   assert_int_equal (send_request (f, "GET", "/safe/1").status, 200);
   assert_int_equal (f->counters.values[MT_COUNTER_WHOLE], 1);
 }
@@ -251,7 +251,7 @@
   assert_typed (send_request (f, "GET", "/safe/1"), 503, "not-run", true);
   assert_true (mt_pools_is_leaving (f->pools, "p", "m0"));
   assert_true (mt_pools_is_leaving (f->pools, "p", "m1"));
-  set_scripts (f, SCRIPT_WHOLE);
+  set_scripts (f, SCRIPT_COMPLETE);
   assert_typed (send_request (f, "GET", "/safe/1"), 503, "not-run", true);
   assert_int_equal (count_requests (f), 2);
   mt_pools_rejoin (f->pools, "p", "m0");
@@ -271,7 +271,7 @@
 
       mt_arena_destroy (f->arena);
       f->arena = mt_arena_create (limit);
-      set_scripts (f, SCRIPT_WHOLE);
+      set_scripts (f, SCRIPT_COMPLETE);
       answer = send_request (f, "GET", "/safe/1");
       if (answer.status != 200)
         assert_non_null (
@@ -288,7 +288,7 @@
 {
   struct fixture *f = *state;
 
-  set_scripts (f, SCRIPT_WHOLE);
+  set_scripts (f, SCRIPT_COMPLETE);
   assert_int_equal (send_request (f, "POST", "/once").status, 200);
   offer_tables (f, 2, "renamed");
   assert_int_equal (send_request (f, "POST", "/once?again=1").status, 409);
--- a/tests/process/test_platform.c
+++ b/tests/process/test_platform.c
@@ -146,7 +146,7 @@
 test_foreign_answers_tell_nothing (void **state)
 {
   static const enum script scripts[]
-      = { SCRIPT_WHOLE, SCRIPT_CUT, SCRIPT_CLOSE, SCRIPT_OVERSIZED, SCRIPT_UNDELIMITED };
+      = { SCRIPT_COMPLETE, SCRIPT_TRUNCATED, SCRIPT_CLOSE, SCRIPT_OVERSIZED, SCRIPT_UNDELIMITED };
   struct fixture *f = *state;
 
   for (size_t i = 0; i < G_N_ELEMENTS (scripts); i++)
@@ -159,7 +159,7 @@
       GPtrArray *list = NULL;
       char *lease = NULL;
 
-      scripted_play (f->scripted, &scripts[i], 1);
+      scripted_set_scripts (f->scripted, &scripts[i], 1);
       assert_int_equal (put (platform, "x", 0), MT_STORE_UNKNOWN);
       assert_false (store->ops->get (store->ctx, KEY, &value, NULL));
       assert_false (store->ops->lease_grant (store->ctx, 10, &lease, NULL));
