--- a/net/http_client.c
+++ b/net/http_client.c
@@ -65,7 +65,7 @@
   g_free (peer);
 }
 
-/* The lock is held. */
+/* The caller holds the lock. */
 static struct peer *
 get_peer (struct mt_http_client *client, const char *address)
 {
@@ -261,8 +261,8 @@
          || ne_get_response_header (request, "Transfer-Encoding") != NULL;
 }
 
-/* The read timeout restarts with each byte, so the deadline is checked too: a minion that sends
- * byte by byte would hold the connection and its slot for ever. */
+/* Checks the deadline too, since the read timeout restarts with each byte: otherwise a minion that
+ * sends byte by byte would hold the connection and its slot for ever. */
 static bool
 read_body (struct mt_http_client *client,
            ne_request *request,
--- a/net/http_exchange.h
+++ b/net/http_exchange.h
@@ -9,7 +9,8 @@
 struct mt_http_exchanges;
 
 /* Called once per call when the exchange has ended: in its thread, just before the caller gets the
- * answer, or after the deadline if it was abandoned. */
+ * answer, or after the deadline if it was abandoned; in the caller's thread if it was never
+ * started. */
 struct mt_http_completion
 {
   void (*call) (void *ctx, enum mt_http_outcome outcome, const struct mt_http_answer *answer);
--- a/net/peer.h
+++ b/net/peer.h
@@ -56,7 +56,8 @@
 
 struct mt_peer_traffic mt_peer_server_traffic (const struct mt_peer_server *server);
 
-/* Calls one peer at a time and waits for its reply, over kept connections. Any thread may call. */
+/* Client for calls to peers, each of which blocks until the reply. Keeps connections. Any thread
+ * may call. */
 struct mt_peer_client;
 struct mt_peer_client *mt_peer_client_create (const struct mt_clock *clock, const char *name);
 void mt_peer_client_destroy (struct mt_peer_client *client);
