--- a/ctl/command_apply.c
+++ b/ctl/command_apply.c
@@ -4,31 +4,32 @@
 
 #include <string.h>
 
-/* A script that applies in a loop may cost the platform so many calls and no more: each run makes
- * at most 3 calls unless the answer to the write was lost, and lasts at least this long. */
-#define PACE_US (500 * MT_MS)
-/* A daemon that holds newer tables than a restored store writes them back within this plus the time
- * of its own two calls; see "Tables" in docs/DESIGN.md. */
-#define REPAIR_US       (500 * MT_MS)
-#define REPAIR_CALLS    4
-#define READ_BACK_TRIES 5
+/* Minimum duration of a run, and interval between attempts to read back a write. It bounds the load
+ * that a script running apply in a loop puts on the platform: a run makes at most 3 calls, unless
+ * the response to the write was lost. */
+#define PAUSE_US (500 * MT_MS)
+/* After the store was restored to older tables, a daemon that holds newer ones writes them back
+ * within this delay plus the duration of its own two calls; see "Tables" in docs/DESIGN.md. */
+#define REPAIR_DELAY_US    (500 * MT_MS)
+#define REPAIR_CALLS       4
+#define READ_BACK_ATTEMPTS 5
 
-/* One run of apply. */
+/* State of one run of apply. */
 struct edit
 {
   const struct mt_command_context *context;
-  const struct mt_tables *wanted;
-  struct mt_accepted accepted; /* what the edit was decided from */
-  uint64_t base;               /* version that the operator edited */
-  uint64_t version;            /* that the edit would get */
+  const struct mt_tables *proposed;
+  struct mt_accepted accepted; /* read before the write */
+  uint64_t base_version;       /* version that the operator edited */
+  uint64_t version;            /* version of the tables once the edit is accepted */
   char *id;
-  bool paced; /* it has waited long enough to bound the rate of calls */
+  bool paused; /* has slept for PAUSE_US or longer in this run */
 };
 
 static void
 wait_us (struct edit *edit, int64_t us)
 {
-  edit->paced = true;
+  edit->paused = true;
   edit->context->pause (edit->context->pause_ctx, us);
 }
 
@@ -36,7 +37,7 @@
 report_accepted (const struct edit *edit, const char *note)
 {
   json_t *root = json_pack ("{sI so}", "accepted", (json_int_t) edit->version, "warnings",
-                            mt_report_warnings (edit->wanted));
+                            mt_report_warnings (edit->proposed));
 
   if (note != NULL)
     json_object_set_new (root, note, json_true ());
@@ -44,22 +45,26 @@
   return MT_EXIT_OK;
 }
 
-/* Tells what was accepted since the version that the operator edited. Where the log of changes is
- * too short for that, it tells how the accepted tables differ from the operator's file. */
+/* Reports the changes that were accepted after the version that the operator edited. If the change
+ * log does not reach back that far, reports how the accepted tables differ from the operator's
+ * file. */
 static int
-report_conflict (const struct edit *edit, const struct mt_tables *now)
+report_conflict (const struct edit *edit, const struct mt_tables *current)
 {
-  char *since = mt_tables_changes_since (now, edit->base);
+  char *since = mt_tables_changes_since (current, edit->base_version);
   const char *name = since != NULL ? "changes_since" : "differences";
-  json_t *changes = mt_report_parse (since != NULL ? since : mt_tables_diff (edit->wanted, now));
+  json_t *changes
+      = mt_report_parse_json (since != NULL ? since : mt_tables_diff (edit->proposed, current));
 
   fprintf (edit->context->err,
-           "medlartrackctl: version %" G_GUINT64_FORMAT " was accepted, the file was edited from "
-           "version %" G_GUINT64_FORMAT "; run `show`, merge your edit into it, and apply that\n",
-           now->version, edit->base);
-  mt_report_json (edit->context, json_pack ("{s{ss sI sI so}}", "error", "kind", "conflict",
-                                            "accepted", (json_int_t) now->version, "edited_from",
-                                            (json_int_t) edit->base, name, changes));
+           "medlartrackctl: version %" G_GUINT64_FORMAT " was accepted, but the file is based on "
+           "version %" G_GUINT64_FORMAT "; run `show`, merge your edit into its output, and apply "
+           "the result\n",
+           current->version, edit->base_version);
+  mt_report_json (edit->context,
+                  json_pack ("{s{ss sI sI so}}", "error", "kind", "conflict", "accepted",
+                             (json_int_t) current->version, "edited_from",
+                             (json_int_t) edit->base_version, name, changes));
   return MT_EXIT_CONFLICT;
 }
 
@@ -71,69 +76,70 @@
   return mt_report_error (edit->context, error, code);
 }
 
-/* Whether reading back settled the write, with the code told. The id in the value or in its log of
- * changes tells whose write it is. */
+/* Reads the stored tables back to find out whether the write took effect, by looking for the edit's
+ * id in the tables and in their change log. Returns true, with the outcome reported and *code set,
+ * if that is certain. Returns false with an error if the platform did not answer, false without one
+ * if the write may still arrive. */
 static bool
-settle_once (const struct edit *edit, int *code, GError **error)
+resolve_once (const struct edit *edit, int *code, GError **error)
 {
-  struct mt_accepted now;
-  bool settled = true;
+  struct mt_accepted current;
+  bool resolved = true;
 
-  if (!mt_accepted_read (edit->context->store, &now, error))
+  if (!mt_accepted_read (edit->context->store, &current, error))
     return false;
-  if (now.tables != NULL && mt_tables_descends_from (now.tables, edit->id))
+  if (current.tables != NULL && mt_tables_descends_from (current.tables, edit->id))
     *code = report_accepted (edit, "read_back");
-  /* The value that the write compares with still stands: the write may yet arrive. */
-  else if (now.value.index == edit->accepted.value.index)
-    settled = false;
-  else if (now.tables != NULL)
-    *code = report_conflict (edit, now.tables);
+  /* The stored value is the one that the write compares against, so the write may still arrive. */
+  else if (current.value.index == edit->accepted.value.index)
+    resolved = false;
+  else if (current.tables != NULL)
+    *code = report_conflict (edit, current.tables);
   else
     *code = report_text (edit, MT_ERROR_CONFLICT, MT_EXIT_CONFLICT,
-                         "another write replaced the accepted tables by something unreadable; run "
-                         "`show`");
-  mt_accepted_clear (&now);
-  return settled;
+                         "another write replaced the accepted tables with a value that can't be "
+                         "read as tables; run `show`");
+  mt_accepted_clear (&current);
+  return resolved;
 }
 
 static int
-settle (struct edit *edit)
+resolve_write (struct edit *edit)
 {
   int code = MT_EXIT_UNKNOWN;
 
-  for (int i = 0; i < READ_BACK_TRIES; i++)
+  for (int i = 0; i < READ_BACK_ATTEMPTS; i++)
     {
       g_autoptr (GError) error = NULL;
 
-      if (settle_once (edit, &code, &error))
+      if (resolve_once (edit, &code, &error))
         return code;
-      wait_us (edit, PACE_US);
+      wait_us (edit, PAUSE_US);
     }
   return report_text (edit, MT_ERROR_UNKNOWN, MT_EXIT_UNKNOWN,
-                      "the platform did not tell whether the edit was accepted; run `show` once it "
-                      "answers, and apply again if the edit is not there");
+                      "the platform did not confirm whether the edit was accepted; run `show` once "
+                      "it answers, and apply again if the edit is missing");
 }
 
-/* A store that was restored to an older value takes an edit that daemons, which hold newer tables,
- * then replace. So "accepted" is told only once they had the time for it. */
+/* Waits and reads the write back before reporting "accepted": a store that was restored to older
+ * tables accepts an edit that daemons holding newer tables then overwrite. */
 static int
-confirm (struct edit *edit, int64_t write_us)
+confirm_write (struct edit *edit, int64_t write_us)
 {
-  struct mt_accepted now;
+  struct mt_accepted current;
   int code;
 
-  wait_us (edit, REPAIR_US + REPAIR_CALLS * write_us);
-  if (!mt_accepted_read (edit->context->store, &now, NULL))
+  wait_us (edit, REPAIR_DELAY_US + REPAIR_CALLS * write_us);
+  if (!mt_accepted_read (edit->context->store, &current, NULL))
     return report_accepted (edit, "not_read_back");
-  if (now.tables != NULL && mt_tables_descends_from (now.tables, edit->id))
+  if (current.tables != NULL && mt_tables_descends_from (current.tables, edit->id))
     code = report_accepted (edit, NULL);
   else
-    code
-        = report_text (edit, MT_ERROR_CONFLICT, MT_EXIT_CONFLICT,
-                       "the platform's store had been restored to older tables, and the newer ones "
-                       "that the daemons hold were put back; run `show`, merge your edit into it, "
-                       "and apply that");
-  mt_accepted_clear (&now);
+    code = report_text (edit, MT_ERROR_CONFLICT, MT_EXIT_CONFLICT,
+                        "the platform's store had been restored to older tables, and the daemons "
+                        "replaced the edit with the newer tables that they hold; run `show`, merge "
+                        "your edit into its output, and apply the result");
+  mt_accepted_clear (&current);
   return code;
 }
 
@@ -143,7 +149,7 @@
   const struct mt_store *store = edit->context->store;
   g_autoptr (GError) error = NULL;
   g_autofree char *text
-      = mt_tables_format_next (edit->accepted.tables, edit->wanted, edit->version, edit->id);
+      = mt_tables_format_next (edit->accepted.tables, edit->proposed, edit->version, edit->id);
   int64_t began_us = mt_clock_now (mt_clock_system ());
   enum mt_store_write_result put = store->ops->put (store->ctx, MT_TABLES_KEY, mt_str_from (text),
                                                     edit->accepted.value.index, &error);
@@ -151,36 +157,39 @@
   switch (put)
     {
     case MT_STORE_DONE:
-      return confirm (edit, mt_clock_now (mt_clock_system ()) - began_us);
+      return confirm_write (edit, mt_clock_now (mt_clock_system ()) - began_us);
     case MT_STORE_FAILED:
       return mt_report_error (edit->context, error, MT_EXIT_UNAVAILABLE);
     case MT_STORE_CONFLICT:
     case MT_STORE_UNKNOWN:
       break;
     }
-  return settle (edit);
+  return resolve_write (edit);
 }
 
-/* The version that the edit starts from: --onto, or what `show` wrote into the file. */
+/* Sets the version that the edit is based on: --onto if given, else the version in the file, as
+ * `show` wrote it. Returns false with an error if --onto is not a number. */
 static bool
-read_base (struct edit *edit, GError **error)
+read_base_version (struct edit *edit, GError **error)
 {
   const char *onto = edit->context->onto;
-  unsigned long long version = edit->wanted->version;
+  unsigned long long version = edit->proposed->version;
 
   if (onto != NULL && !mt_str_to_u64 (mt_str_from (onto), &version))
     {
       g_set_error (error, MT_ERROR, MT_ERROR_USAGE,
-                   "--onto: found \"%s\"; write the version that the edit starts from", onto);
+                   "--onto: \"%s\" is not a version; give the version that the edit is based on",
+                   onto);
       return false;
     }
-  edit->base = version;
+  edit->base_version = version;
   return true;
 }
 
-/* The version that a value which can't be read as tables claims to be; 0 where it claims none. */
+/* Returns the "version" member of a stored value that can't be parsed as tables; 0 if there is
+ * none. */
 static uint64_t
-claimed_version (const struct mt_store_value *value)
+read_claimed_version (const struct mt_store_value *value)
 {
   json_t *root = json_loadb (value->data, value->len, 0, NULL);
   json_int_t version = json_integer_value (json_object_get (root, "version"));
@@ -189,66 +198,69 @@
   return version > 0 ? (uint64_t) version : 0;
 }
 
-/* A value of another release, or written past this tool, may only be replaced by an operator who
- * names it: without that way out a stricter release could lock everyone out of the tables. */
+/* Allows an unreadable value to be replaced only if --onto names its version. Such a value comes
+ * from another release or was written without this tool. It must be replaceable: otherwise a
+ * stricter release could lock everyone out of the tables. Reports an error and returns false if the
+ * edit is not allowed. */
 static bool
 check_unreadable (const struct edit *edit, int *code)
 {
-  uint64_t version = claimed_version (&edit->accepted.value);
+  uint64_t version = read_claimed_version (&edit->accepted.value);
   g_autofree char *text = NULL;
 
-  if (edit->context->onto != NULL && edit->base == version)
+  if (edit->context->onto != NULL && edit->base_version == version)
     return true;
   text = g_strdup_printf ("the accepted tables can't be read (%s); give --onto %" G_GUINT64_FORMAT
                           " to replace them as a whole",
-                          edit->accepted.why_unreadable->message, version);
+                          edit->accepted.parse_error->message, version);
   *code = report_text (edit, MT_ERROR_TABLES, MT_EXIT_REFUSED, text);
   return false;
 }
 
-/* Whether the edit starts from what is accepted; tells why where it doesn't. */
+/* Checks that the edit is based on the accepted tables; reports an error and returns false if it
+ * isn't. */
 static bool
-check_base (const struct edit *edit, int *code)
+check_base_version (const struct edit *edit, int *code)
 {
-  const struct mt_tables *now = edit->accepted.tables;
-  bool same_id = edit->context->onto != NULL || edit->wanted->id.len == 0
-                 || (now != NULL && mt_str_equal (edit->wanted->id, now->id));
-  uint64_t accepted = now != NULL ? now->version : 0;
+  const struct mt_tables *current = edit->accepted.tables;
+  bool same_id = edit->context->onto != NULL || edit->proposed->id.len == 0
+                 || (current != NULL && mt_str_equal (edit->proposed->id, current->id));
+  uint64_t accepted = current != NULL ? current->version : 0;
 
-  if (edit->base > accepted)
+  if (edit->base_version > accepted)
     *code = report_text (edit, MT_ERROR_CONFLICT, MT_EXIT_CONFLICT,
-                         "the platform holds older tables than the file was edited from: its store "
-                         "was restored; wait until the daemons have written the newer ones back, "
-                         "or give --onto with the version that `show` prints");
-  else if (now != NULL && edit->base == 0)
+                         "the platform holds older tables than the file is based on: its store was "
+                         "restored; wait until the daemons have written the newer tables back, or "
+                         "give --onto with the version that `show` prints");
+  else if (current != NULL && edit->base_version == 0)
     *code = report_text (edit, MT_ERROR_TABLES, MT_EXIT_REFUSED,
-                         "the file has no version, so it can't be told whether it undoes another "
-                         "operator's edit; edit what `show` prints, or give --onto VERSION");
-  else if (now != NULL && (edit->base < accepted || !same_id))
-    *code = report_conflict (edit, now);
+                         "the file has no version, so it might undo another operator's edit; edit "
+                         "the output of `show`, or give --onto VERSION");
+  else if (current != NULL && (edit->base_version < accepted || !same_id))
+    *code = report_conflict (edit, current);
   else
     return true;
   return false;
 }
 
 static int
-decide (struct edit *edit)
+check_and_write (struct edit *edit)
 {
-  const struct mt_tables *now = edit->accepted.tables;
+  const struct mt_tables *current = edit->accepted.tables;
   g_autoptr (GError) error = NULL;
   int code;
 
-  if (now != NULL && mt_tables_same_rows (now, edit->wanted))
+  if (current != NULL && mt_tables_same_rows (current, edit->proposed))
     {
-      edit->version = now->version;
+      edit->version = current->version;
       return report_accepted (edit, "unchanged");
     }
-  if (edit->accepted.why_unreadable != NULL ? !check_unreadable (edit, &code)
-                                            : !check_base (edit, &code))
+  if (edit->accepted.parse_error != NULL ? !check_unreadable (edit, &code)
+                                         : !check_base_version (edit, &code))
     return code;
-  if (!mt_tables_check_change (now, edit->wanted, edit->context->may_empty, &error))
+  if (!mt_tables_check_change (current, edit->proposed, edit->context->may_empty, &error))
     return mt_report_error (edit->context, error, MT_EXIT_REFUSED);
-  edit->version = edit->base + 1;
+  edit->version = edit->base_version + 1;
   return write_edit (edit);
 }
 
@@ -258,24 +270,24 @@
   g_autoptr (GError) error = NULL;
   struct edit edit = { .context = context };
   int code;
-  struct mt_tables *wanted = mt_report_load (context, path, &code);
+  struct mt_tables *proposed = mt_report_load_tables (context, path, &code);
 
-  if (wanted == NULL)
+  if (proposed == NULL)
     return code;
-  edit.wanted = wanted;
+  edit.proposed = proposed;
   edit.id = g_uuid_string_random ();
-  if (!read_base (&edit, &error))
+  if (!read_base_version (&edit, &error))
     code = mt_report_error (context, error, MT_EXIT_USAGE);
   else
     {
       code = mt_accepted_read (context->store, &edit.accepted, &error)
-                 ? decide (&edit)
+                 ? check_and_write (&edit)
                  : mt_report_error (context, error, MT_EXIT_UNAVAILABLE);
-      if (!edit.paced)
-        wait_us (&edit, PACE_US);
+      if (!edit.paused)
+        wait_us (&edit, PAUSE_US);
     }
   mt_accepted_clear (&edit.accepted);
   g_free (edit.id);
-  mt_tables_destroy (wanted);
+  mt_tables_destroy (proposed);
   return code;
 }
--- a/ctl/command_check.c
+++ b/ctl/command_check.c
@@ -4,7 +4,7 @@
 mt_command_check (const struct mt_command_context *context, const char *path)
 {
   int code;
-  struct mt_tables *tables = mt_report_load (context, path, &code);
+  struct mt_tables *tables = mt_report_load_tables (context, path, &code);
 
   if (tables == NULL)
     return code;
--- a/ctl/command_explain.c
+++ b/ctl/command_explain.c
@@ -1,4 +1,5 @@
-/* What became of a job, from the daemons' collected logs: its own lines in order, and the cause. */
+/* Explains a job's outcome from the daemons' collected logs: prints the job's log lines in order of
+ * time, and a summary of what happened to it. */
 #include "commands.h"
 #include "report.h"
 
@@ -7,26 +8,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A first start later than this is a late job's cause; sooner it is the run time's. */
+/* A wait for the first start is named as a cause from this length on; with a shorter one a late job
+ * is late because of its run time. */
 #define LONG_WAIT_MS 500
 #define MAX_LINES    500000
 
-struct story
+struct job_history
 {
   const char *id;
-  GPtrArray *lines; /* json_t, of all events */
-  json_t *own;      /* the job's lines, in order */
+  GPtrArray *lines;  /* json_t, all events in order of time */
+  json_t *job_lines; /* events of this job in order of time */
   const char *pool;
   const json_t *accepted;
   const json_t *refused;
-  const json_t *unsettled;
-  const json_t *caller;
-  const json_t *begun;
+  const json_t *outcome_unknown;
+  const json_t *caller_refused;
+  const json_t *started;
   const json_t *ended;
   unsigned lost;
   unsigned failed;
-  unsigned still;
-  unsigned missed;
+  unsigned stalled;
+  unsigned unanswered;
   const json_t *last_loss;
   const json_t *given_up;
 };
@@ -46,7 +48,7 @@
 }
 
 static int
-compare (const void *left, const void *right)
+compare_times (const void *left, const void *right)
 {
   double a = json_number_value (json_object_get (*(json_t *const *) left, "at"));
   double b = json_number_value (json_object_get (*(json_t *const *) right, "at"));
@@ -55,16 +57,17 @@
 }
 
 static void
-drop_line (void *line)
+free_line (void *line)
 {
   json_decref (line);
 }
 
-/* Collectors put words of their own before a line; what is no event is passed over. */
+/* Reads all events, sorted by time. A line's JSON may follow a prefix that the log collector wrote;
+ * lines without an event are skipped. */
 static GPtrArray *
 read_lines (FILE *in)
 {
-  GPtrArray *lines = g_ptr_array_new_with_free_func (drop_line);
+  GPtrArray *lines = g_ptr_array_new_with_free_func (free_line);
   char *text = NULL;
   size_t size = 0;
 
@@ -79,77 +82,78 @@
         json_decref (line);
     }
   free (text);
-  g_ptr_array_sort (lines, compare);
+  g_ptr_array_sort (lines, compare_times);
   return lines;
 }
 
 static void
-take (struct story *story, json_t *line)
+add_line (struct job_history *job, json_t *line)
 {
   static const struct
   {
     const char *name;
     size_t offset;
-  } marks[] = {
-    { "JOB_ACCEPTED", offsetof (struct story, accepted) },
-    { "JOB_REFUSED", offsetof (struct story, refused) },
-    { "JOB_UNSETTLED", offsetof (struct story, unsettled) },
-    { "CALLER_REFUSED", offsetof (struct story, caller) },
-    { "JOB_BEGUN", offsetof (struct story, begun) },
-    { "JOB_ENDED", offsetof (struct story, ended) },
-    { "TASK_GIVEN_UP", offsetof (struct story, given_up) },
+  } first_events[] = {
+    { "JOB_ACCEPTED", offsetof (struct job_history, accepted) },
+    { "JOB_REFUSED", offsetof (struct job_history, refused) },
+    { "JOB_UNSETTLED", offsetof (struct job_history, outcome_unknown) },
+    { "CALLER_REFUSED", offsetof (struct job_history, caller_refused) },
+    { "JOB_BEGUN", offsetof (struct job_history, started) },
+    { "JOB_ENDED", offsetof (struct job_history, ended) },
+    { "TASK_GIVEN_UP", offsetof (struct job_history, given_up) },
   };
 
-  json_array_append (story->own, line);
+  json_array_append (job->job_lines, line);
   if (text_of (line, "pool")[0] != '\0')
-    story->pool = text_of (line, "pool");
-  for (size_t i = 0; i < G_N_ELEMENTS (marks); i++)
+    job->pool = text_of (line, "pool");
+  for (size_t i = 0; i < G_N_ELEMENTS (first_events); i++)
     {
-      const json_t **mark = (const json_t **) (void *) ((char *) story + marks[i].offset);
+      const json_t **first = (const json_t **) (void *) ((char *) job + first_events[i].offset);
 
-      if (*mark == NULL && is_event (line, marks[i].name))
-        *mark = line;
+      if (*first == NULL && is_event (line, first_events[i].name))
+        *first = line;
     }
-  story->failed += is_event (line, "TASK_FAILED");
-  story->still += is_event (line, "TASK_STILL");
-  story->missed += is_event (line, "TASK_MISSED");
+  job->failed += is_event (line, "TASK_FAILED");
+  job->stalled += is_event (line, "TASK_STILL");
+  job->unanswered += is_event (line, "TASK_MISSED");
   if (!is_event (line, "TASK_LOST"))
     return;
-  story->lost++;
-  story->last_loss = line;
+  job->lost++;
+  job->last_loss = line;
 }
 
-/* The fullest moment of the job's pool from its acceptance to its first start. */
+/* Returns the POOL_LOAD event of the job's pool with the most waiting tasks between the job's
+ * acceptance and its first start; NULL if there is none. */
 static const json_t *
-fullest (const struct story *story)
+find_peak_load (const struct job_history *job)
 {
-  double from = json_number_value (json_object_get (story->accepted, "at"));
-  double to = json_number_value (json_object_get (story->begun, "at"));
-  const json_t *most = NULL;
+  double from = json_number_value (json_object_get (job->accepted, "at"));
+  double to = json_number_value (json_object_get (job->started, "at"));
+  const json_t *peak = NULL;
 
-  for (guint i = 0; i < story->lines->len; i++)
+  for (guint i = 0; i < job->lines->len; i++)
     {
-      const json_t *line = story->lines->pdata[i];
+      const json_t *line = job->lines->pdata[i];
       double at = json_number_value (json_object_get (line, "at"));
 
-      if (!is_event (line, "POOL_LOAD") || strcmp (text_of (line, "pool"), story->pool) != 0
+      if (!is_event (line, "POOL_LOAD") || strcmp (text_of (line, "pool"), job->pool) != 0
           || at < from - 1 || at > to + 1)
         continue;
-      if (most == NULL
+      if (peak == NULL
           || json_integer_value (json_object_get (line, "waiting"))
-                 > json_integer_value (json_object_get (most, "waiting")))
-        most = line;
+                 > json_integer_value (json_object_get (peak, "waiting")))
+        peak = line;
     }
-  return most;
+  return peak;
 }
 
 static void
-add_wait (const struct story *story, GString *out)
+append_wait (const struct job_history *job, GString *out)
 {
-  json_int_t waited = json_integer_value (json_object_get (story->begun, "waited_ms"));
-  const json_t *load = fullest (story);
+  json_int_t waited = json_integer_value (json_object_get (job->started, "waited_ms"));
+  const json_t *load = find_peak_load (job);
 
-  if (story->begun == NULL || waited < LONG_WAIT_MS)
+  if (job->started == NULL || waited < LONG_WAIT_MS)
     return;
   g_string_append_printf (out, "; it waited %lld ms for its first start", (long long) waited);
   if (load != NULL)
@@ -161,55 +165,55 @@
 }
 
 static void
-add_reruns (const struct story *story, GString *out)
+append_reruns (const struct job_history *job, GString *out)
 {
-  if (story->lost > 0)
+  if (job->lost > 0)
     g_string_append_printf (out, "; %u of its tasks were lost with worker %s (%s) and run again",
-                            story->lost, text_of (story->last_loss, "worker"),
-                            text_of (story->last_loss, "why"));
-  if (story->given_up != NULL)
+                            job->lost, text_of (job->last_loss, "worker"),
+                            text_of (job->last_loss, "why"));
+  if (job->given_up != NULL)
     g_string_append_printf (
         out,
         "; given up, since the workers that started task %lld.%lld of it crashed, %lld in a row",
-        (long long) json_integer_value (json_object_get (story->given_up, "step")),
-        (long long) json_integer_value (json_object_get (story->given_up, "index")),
-        (long long) json_integer_value (json_object_get (story->given_up, "losses")));
-  if (story->still > 0)
-    g_string_append_printf (out, "; %u of its runs stood still and were begun elsewhere",
-                            story->still);
-  if (story->missed > 0)
+        (long long) json_integer_value (json_object_get (job->given_up, "step")),
+        (long long) json_integer_value (json_object_get (job->given_up, "index")),
+        (long long) json_integer_value (json_object_get (job->given_up, "losses")));
+  if (job->stalled > 0)
+    g_string_append_printf (out, "; %u of its runs made no progress and were restarted elsewhere",
+                            job->stalled);
+  if (job->unanswered > 0)
     g_string_append_printf (out, "; %u of its starts got no answer and were stopped for certainty",
-                            story->missed);
-  if (story->failed > 0)
-    g_string_append_printf (out, "; %u of its runs failed", story->failed);
+                            job->unanswered);
+  if (job->failed > 0)
+    g_string_append_printf (out, "; %u of its runs failed", job->failed);
 }
 
 static char *
-judge (const struct story *story)
+describe_cause (const struct job_history *job)
 {
   GString *out = g_string_new (NULL);
 
-  if (story->accepted == NULL && story->unsettled != NULL)
-    g_string_append_printf (out, "its caller was told that the outcome is not known: %s",
-                            text_of (story->unsettled, "why"));
-  else if (story->accepted == NULL && story->refused != NULL)
-    g_string_append_printf (out, "refused, it never ran: %s", text_of (story->refused, "why"));
-  else if (story->accepted == NULL && story->caller != NULL)
+  if (job->accepted == NULL && job->outcome_unknown != NULL)
+    g_string_append_printf (out, "its caller was told that the outcome is unknown: %s",
+                            text_of (job->outcome_unknown, "why"));
+  else if (job->accepted == NULL && job->refused != NULL)
+    g_string_append_printf (out, "refused, it never ran: %s", text_of (job->refused, "why"));
+  else if (job->accepted == NULL && job->caller_refused != NULL)
     g_string_append_printf (out, "its caller was refused, nothing was stored: %s",
-                            text_of (story->caller, "why"));
-  else if (story->accepted == NULL)
+                            text_of (job->caller_refused, "why"));
+  else if (job->accepted == NULL)
     g_string_append (out, "no daemon's log tells of its acceptance");
-  else if (story->ended == NULL)
-    g_string_append (out, story->begun != NULL ? "accepted and begun, not ended"
+  else if (job->ended == NULL)
+    g_string_append (out, job->started != NULL ? "accepted and begun, not ended"
                                                : "accepted, not begun");
   else
     g_string_append_printf (
-        out, "%s %lld ms after its acceptance", text_of (story->ended, "state"),
-        (long long) json_integer_value (json_object_get (story->ended, "age_ms")));
-  if (story->accepted != NULL)
+        out, "%s %lld ms after its acceptance", text_of (job->ended, "state"),
+        (long long) json_integer_value (json_object_get (job->ended, "age_ms")));
+  if (job->accepted != NULL)
     {
-      add_wait (story, out);
-      add_reruns (story, out);
+      append_wait (job, out);
+      append_reruns (job, out);
     }
   return g_string_free (out, FALSE);
 }
@@ -217,26 +221,27 @@
 int
 mt_command_explain (const struct mt_command_context *context, const char *id)
 {
-  struct story story = { .id = id, .own = json_array (), .pool = "" };
+  struct job_history job = { .id = id, .job_lines = json_array (), .pool = "" };
   g_autofree char *cause = NULL;
   json_t *report;
   bool found;
 
-  story.lines = read_lines (context->in);
-  for (guint i = 0; i < story.lines->len; i++)
-    if (strcmp (text_of (story.lines->pdata[i], "id"), id) == 0)
-      take (&story, story.lines->pdata[i]);
-  found = json_array_size (story.own) > 0;
-  cause = judge (&story);
-  report = json_pack ("{ss ss so}", "id", id, "cause", cause, "lines", story.own);
+  job.lines = read_lines (context->in);
+  for (guint i = 0; i < job.lines->len; i++)
+    if (strcmp (text_of (job.lines->pdata[i], "id"), id) == 0)
+      add_line (&job, job.lines->pdata[i]);
+  found = json_array_size (job.job_lines) > 0;
+  cause = describe_cause (&job);
+  report = json_pack ("{ss ss so}", "id", id, "cause", cause, "lines", job.job_lines);
   json_dumpf (report, context->out, JSON_INDENT (1) | JSON_REAL_PRECISION (14));
   fputc ('\n', context->out);
   json_decref (report);
-  g_ptr_array_unref (story.lines);
+  g_ptr_array_unref (job.lines);
   if (!found)
-    fprintf (context->err,
-             "medlartrackctl: no line tells of \"%s\"; collect the logs of all "
-             "daemons from before its submission\n",
-             id);
+    fprintf (
+        context->err,
+        "medlartrackctl: no log line mentions job \"%s\"; collect the logs of all daemons from "
+        "before its submission\n",
+        id);
   return found ? MT_EXIT_OK : MT_EXIT_REFUSED;
 }
--- a/ctl/command_show.c
+++ b/ctl/command_show.c
@@ -10,8 +10,8 @@
 
   if (!mt_accepted_read (context->store, &accepted, &error))
     return mt_report_error (context, error, MT_EXIT_UNAVAILABLE);
-  if (accepted.why_unreadable != NULL)
-    code = mt_report_error (context, accepted.why_unreadable, MT_EXIT_REFUSED);
+  if (accepted.parse_error != NULL)
+    code = mt_report_error (context, accepted.parse_error, MT_EXIT_REFUSED);
   else if (accepted.tables != NULL)
     text = mt_tables_format_pretty (accepted.tables);
   else
--- a/ctl/command_status.c
+++ b/ctl/command_status.c
@@ -7,9 +7,10 @@
 
 #define MEMBERS_PREFIX "medlartrack/members/"
 
-/* The dump of the first daemon that answers: the one named, else those that the platform lists. */
+/* Fetches the dump of the daemon given by --peer, else of the first daemon listed by the platform
+ * that answers. */
 static char *
-ask_any (const struct mt_command_context *context, GError **error)
+fetch_any_dump (const struct mt_command_context *context, GError **error)
 {
   GPtrArray *values;
   char *text = NULL;
@@ -50,7 +51,7 @@
 }
 
 static json_t *
-summarise (json_t *dump)
+summarize_dump (json_t *dump)
 {
   json_t *members = json_object_get (dump, "members");
   json_int_t newest = newest_version (members);
@@ -80,7 +81,7 @@
 mt_command_status (const struct mt_command_context *context, const char *argument)
 {
   g_autoptr (GError) error = NULL;
-  char *text = ask_any (context, &error);
+  char *text = fetch_any_dump (context, &error);
   json_t *dump;
   json_t *status = NULL;
 
@@ -89,12 +90,13 @@
   dump = json_loads (text, 0, NULL);
   free (text);
   if (dump != NULL)
-    status = summarise (dump);
+    status = summarize_dump (dump);
   json_decref (dump);
   if (status == NULL)
     {
       g_set_error (&error, MT_ERROR, MT_ERROR_SYNTAX,
-                   "the daemon's dump can't be read; check that it runs the same version");
+                   "the daemon's dump can't be parsed; check that the daemon runs the same version "
+                   "as medlartrackctl");
       return mt_report_error (context, error, MT_EXIT_UNAVAILABLE);
     }
   mt_report_json (context, status);
--- a/ctl/command_top.c
+++ b/ctl/command_top.c
@@ -1,4 +1,4 @@
-/* The main counters of daemons, read from their metrics addresses. */
+/* Prints the main counters of daemons, read from their metrics addresses. */
 #include "commands.h"
 
 #include "http_client.h"
@@ -8,17 +8,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_US    (2 * MT_SECOND)
-#define MAX_ANSWER (256 * 1024)
+#define CALL_TIMEOUT_US  (2 * MT_SECOND)
+#define MAX_ANSWER_BYTES (256 * 1024)
 
-static const char *const shown[] = {
+static const char *const metric_names[] = {
   "config_version",       "leaderships",         "jobs_open",
   "tasks_waiting",        "tasks_running",       "workers",
   "workers_silent",       "jobs_accepted_total", "jobs_refused_total",
   "jobs_unsettled_total", "store_calls",         NULL,
 };
 
-/* The value of "medlartrack_NAME VALUE" on a line of its own. */
+/* Finds the line "medlartrack_NAME VALUE" and parses its value. */
 static bool
 find_value (const char *text, const char *name, json_int_t *out)
 {
@@ -32,25 +32,25 @@
 }
 
 static json_t *
-ask (struct mt_http_client *client, const char *address)
+fetch_counters (struct mt_http_client *client, const char *address)
 {
   struct mt_http_call call = { .method = "GET",
                                .path = "/metrics",
                                .fresh = true,
-                               .deadline_us = mt_clock_now (mt_clock_system ()) + CALL_US,
-                               .max_answer = MAX_ANSWER };
+                               .deadline_us = mt_clock_now (mt_clock_system ()) + CALL_TIMEOUT_US,
+                               .max_answer = MAX_ANSWER_BYTES };
   struct mt_arena *arena = mt_arena_create (0);
   struct mt_http_answer answer = { 0 };
   json_t *row = json_pack ("{ss}", "daemon", address);
 
   if (mt_http_client_call (client, address, &call, arena, &answer, NULL) != MT_HTTP_WHOLE)
-    json_object_set_new (row, "error", json_string ("no answer; see whether it runs"));
+    json_object_set_new (row, "error", json_string ("no answer; check that it runs"));
   else
     {
       g_autofree char *text = g_strndup (answer.body.data, answer.body.len);
       json_int_t value;
 
-      for (const char *const *name = shown; *name != NULL; name++)
+      for (const char *const *name = metric_names; *name != NULL; name++)
         if (find_value (text, *name, &value))
           json_object_set_new (row, *name, json_integer (value));
     }
@@ -68,7 +68,7 @@
 
   for (char **address = list; *address != NULL; address++)
     {
-      json_t *row = ask (client, *address);
+      json_t *row = fetch_counters (client, *address);
 
       if (json_object_get (row, "error") != NULL)
         code = MT_EXIT_UNAVAILABLE;
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_US (5 * MT_SECOND)
+#define CALL_TIMEOUT_US (5 * MT_SECOND)
 
 struct arguments
 {
@@ -23,10 +23,12 @@
 const char *argp_program_version = "medlartrackctl 0.1.0";
 
 static const struct argp_option options[] = {
-  { "platform", 'p', "IP:PORT", 0, "The platform's key-value service", 0 },
-  { "peer", 'd', "IP:PORT", 0, "status: the daemon to ask; else any that the platform lists", 0 },
-  { "onto", 'o', "VERSION", 0, "apply: the accepted version that the edit starts from", 0 },
-  { "empty", 'e', "ZONE", 0, "apply, diff: a data centre that pools may be emptied in", 0 },
+  { "platform", 'p', "IP:PORT", 0, "Address of the platform's key-value service", 0 },
+  { "peer", 'd', "IP:PORT", 0, "status: the daemon to query; default: any that the platform lists",
+    0 },
+  { "onto", 'o', "VERSION", 0, "apply: the accepted version that the edit is based on", 0 },
+  { "empty", 'e', "ZONE", 0, "apply, diff: a data centre where needed pools may lose all instances",
+    0 },
   { 0 },
 };
 
@@ -59,7 +61,7 @@
       return 0;
     case ARGP_KEY_END:
       if (arguments->command == NULL)
-        argp_error (state, "name a command; --help lists them");
+        argp_error (state, "no command given; --help lists the commands");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -105,11 +107,11 @@
 }
 
 static int
-run (const struct mt_command *command, const struct arguments *arguments)
+run_command (const struct mt_command *command, const struct arguments *arguments)
 {
   struct mt_http_client *client = mt_http_client_create (mt_clock_system ());
   struct mt_platform *platform
-      = mt_platform_create (client, mt_clock_system (), arguments->platform, CALL_US);
+      = mt_platform_create (client, mt_clock_system (), arguments->platform, CALL_TIMEOUT_US);
   struct mt_command_context context = {
     .store = mt_platform_store (platform),
     .peer = arguments->peer,
@@ -143,7 +145,8 @@
   command = find_command (arguments.command);
   if (command == NULL)
     {
-      fprintf (stderr, "medlartrackctl: no command \"%s\"; --help lists them\n", arguments.command);
+      fprintf (stderr, "medlartrackctl: unknown command \"%s\"; --help lists the commands\n",
+               arguments.command);
       return MT_EXIT_USAGE;
     }
   if ((command->argument != NULL) != (arguments.argument != NULL))
@@ -154,5 +157,5 @@
     }
   if (!check_platform (arguments.platform))
     return MT_EXIT_USAGE;
-  return run (command, &arguments);
+  return run_command (command, &arguments);
 }
--- a/ctl/peer_call.c
+++ b/ctl/peer_call.c
@@ -2,7 +2,7 @@
 
 #include "peer.h"
 
-#define CALL_US (5 * MT_SECOND)
+#define CALL_TIMEOUT_US (5 * MT_SECOND)
 
 char *
 mt_peer_call_dump (const char *address, GError **error)
@@ -12,8 +12,8 @@
   char *text = NULL;
   size_t len;
 
-  mt_peer_client_call (client, address, MT_PEER_DUMP, MT_STR (""), mt_clock_now (clock) + CALL_US,
-                       &text, &len, error);
+  mt_peer_client_call (client, address, MT_PEER_DUMP, MT_STR (""),
+                       mt_clock_now (clock) + CALL_TIMEOUT_US, &text, &len, error);
   mt_peer_client_destroy (client);
   return text;
 }
--- a/ctl/report.c
+++ b/ctl/report.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define READ_CHUNK 65536
+#define READ_CHUNK_BYTES 65536
 
 static const char *
 kind_name (const GError *error)
@@ -49,7 +49,7 @@
 }
 
 json_t *
-mt_report_parse (char *text)
+mt_report_parse_json (char *text)
 {
   json_t *root = text != NULL ? json_loads (text, 0, NULL) : NULL;
 
@@ -72,10 +72,10 @@
 read_stdin (char **text, gsize *len)
 {
   GString *all = g_string_new (NULL);
-  char chunk[READ_CHUNK];
+  char chunk[READ_CHUNK_BYTES];
   size_t n;
 
-  /* One byte more than the limit is enough to be refused for its length. */
+  /* Stops once the text exceeds the limit: the parser then refuses it for its length. */
   while (all->len <= MT_TABLES_MAX_BYTES && (n = fread (chunk, 1, sizeof chunk, stdin)) > 0)
     g_string_append_len (all, chunk, (gssize) n);
   *len = all->len;
@@ -84,7 +84,7 @@
 }
 
 struct mt_tables *
-mt_report_load (const struct mt_command_context *context, const char *path, int *code)
+mt_report_load_tables (const struct mt_command_context *context, const char *path, int *code)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
@@ -96,7 +96,7 @@
     {
       if (!read_stdin (&text, &len))
         g_set_error_literal (&error, MT_ERROR, MT_ERROR_USAGE,
-                             "standard input can't be read; name a file");
+                             "standard input can't be read; give a file instead");
     }
   else
     g_file_get_contents (path, &text, &len, &error);
@@ -122,7 +122,7 @@
     return false;
   if (value->found)
     accepted->tables
-        = mt_tables_parse ((struct mt_str){ value->data, value->len }, &accepted->why_unreadable);
+        = mt_tables_parse ((struct mt_str){ value->data, value->len }, &accepted->parse_error);
   return true;
 }
 
@@ -131,6 +131,6 @@
 {
   mt_store_value_clear (&accepted->value);
   mt_tables_destroy (accepted->tables);
-  g_clear_error (&accepted->why_unreadable);
+  g_clear_error (&accepted->parse_error);
   accepted->tables = NULL;
 }
--- a/ctl/report.h
+++ b/ctl/report.h
@@ -1,4 +1,4 @@
-/* What the commands share: reading files and the accepted tables, telling results and errors. */
+/* Shared by the commands: reads table files and the accepted tables, prints results and errors. */
 #ifndef MT_REPORT_H
 #define MT_REPORT_H
 
@@ -7,28 +7,29 @@
 
 #include <jansson.h>
 
-/* What the platform holds. */
+/* The tables as the platform stores them. */
 struct mt_accepted
 {
   struct mt_store_value value;
-  struct mt_tables *tables; /* NULL where there are none, or they can't be read */
-  GError *why_unreadable;   /* set where a value is there that can't be read */
+  struct mt_tables *tables; /* NULL if none are stored or the stored value can't be parsed */
+  GError *parse_error;      /* set if a stored value can't be parsed */
 };
 
-/* False where the platform does not answer. */
+/* Returns false if the platform does not answer. */
 bool mt_accepted_read (const struct mt_store *store, struct mt_accepted *accepted, GError **error);
 void mt_accepted_clear (struct mt_accepted *accepted);
 
-/* Tells the error on both streams; returns the code. error may be NULL. */
+/* Prints the error to `err` and, as JSON, to `out`. Returns code. */
 int mt_report_error (const struct mt_command_context *context, const GError *error, int code);
-/* Prints one line of JSON; takes root over. */
+/* Prints root as one line of JSON and takes ownership of it. */
 void mt_report_json (const struct mt_command_context *context, json_t *root);
-/* JSON text, which is freed, as a value; null for NULL. */
-json_t *mt_report_parse (char *text);
+/* Parses JSON text and frees it. Returns JSON null for NULL or invalid text. */
+json_t *mt_report_parse_json (char *text);
 json_t *mt_report_warnings (const struct mt_tables *tables);
 
-/* Reads and checks a file, "-" for standard input. On failure it has told why and set the code. */
+/* Reads and checks a table file, "-" for standard input. On failure prints the error, sets *code
+ * and returns NULL. */
 struct mt_tables *
-mt_report_load (const struct mt_command_context *context, const char *path, int *code);
+mt_report_load_tables (const struct mt_command_context *context, const char *path, int *code);
 
 #endif
--- a/tests/ctl/test_apply.c
+++ b/tests/ctl/test_apply.c
@@ -11,10 +11,10 @@
 
 #include <cmocka.h>
 
-#define PUT_CALL 2 /* apply reads first, then writes */
+#define PUT_CALL 2 /* number of the call that writes: apply reads first */
 
-/* One operator at his terminal, and what happens while his command runs. */
-struct sched
+/* An operator who runs apply, and an action that takes place during the run. */
+struct operator
 {
   struct fake_store *fake;
   struct mt_command_context context;
@@ -26,82 +26,80 @@
   unsigned calls;
   unsigned act_before_call; /* 0: never */
   bool act_at_pause;
-  void (*act) (struct sched *sched);
+  void (*act) (struct operator* op);
 };
 
 static void
 before_call (void *ctx)
 {
-  struct sched *sched = ctx;
+  struct operator* op = ctx;
 
-  sched->calls++;
-  if (sched->act != NULL && sched->calls == sched->act_before_call)
-    sched->act (sched);
+  op->calls++;
+  if (op->act != NULL && op->calls == op->act_before_call)
+    op->act (op);
 }
 
 static void
 at_pause (void *ctx, int64_t us)
 {
-  struct sched *sched = ctx;
-  bool act = sched->act_at_pause;
+  struct operator* op = ctx;
+  bool act = op->act_at_pause;
 
-  sched->act_at_pause = false;
+  op->act_at_pause = false;
   if (act)
-    sched->act (sched);
+    op->act (op);
 }
 
 static void
-desk_open (struct sched *sched, struct fake_store *fake)
+operator_init (struct operator* op, struct fake_store *fake)
 {
-  *sched = (struct sched){ .fake = fake };
-  sched->path = g_strdup ("/tmp/medlartrack-test-XXXXXX");
-  close (g_mkstemp (sched->path));
-  sched->context.store = fake_store_store (fake);
-  sched->context.pause = at_pause;
-  sched->context.pause_ctx = sched;
+  *op = (struct operator){ .fake = fake };
+  op->path = g_strdup ("/tmp/medlartrack-test-XXXXXX");
+  close (g_mkstemp (op->path));
+  op->context.store = fake_store_store (fake);
+  op->context.pause = at_pause;
+  op->context.pause_ctx = op;
 }
 
-static void
-desk_close (struct sched *sched)
+static void operator_clear (struct operator* op)
 {
-  unlink (sched->path);
-  g_free (sched->path);
-  free (sched->out);
-  free (sched->err);
+  unlink (op->path);
+  g_free (op->path);
+  free (op->out);
+  free (op->err);
 }
 
-/* A file with one pool, edited from that version; 0 leaves the version out. */
+/* Writes a tables file with one pool, based on the version; 0 leaves the version out. */
 static void
-edit (struct sched *sched, unsigned version, const char *pool)
+write_tables_file (struct operator* op, unsigned version, const char *pool)
 {
   g_autofree char *line
       = version > 0 ? g_strdup_printf ("\"version\":%u,", version) : g_strdup ("");
   g_autofree char *text = g_strdup_printf (
       "{%s\"routes\":[],\"pools\":[{\"pool\":\"%s\",\"service\":\"s\"}]}", line, pool);
 
-  assert_true (g_file_set_contents (sched->path, text, -1, NULL));
+  assert_true (g_file_set_contents (op->path, text, -1, NULL));
 }
 
-static int
-apply (struct sched *sched)
+static int run_apply (struct operator* op)
 {
   int code;
 
-  free (sched->out);
-  free (sched->err);
-  sched->context.out = open_memstream (&sched->out, &sched->out_len);
-  sched->context.err = open_memstream (&sched->err, &sched->err_len);
-  sched->calls = 0;
-  fake_store_before_call (sched->fake, before_call, sched);
-  code = mt_command_apply (&sched->context, sched->path);
-  fake_store_before_call (sched->fake, NULL, NULL);
-  fclose (sched->context.out);
-  fclose (sched->context.err);
+  free (op->out);
+  free (op->err);
+  op->context.out = open_memstream (&op->out, &op->out_len);
+  op->context.err = open_memstream (&op->err, &op->err_len);
+  op->calls = 0;
+  fake_store_before_call (op->fake, before_call, op);
+  code = mt_command_apply (&op->context, op->path);
+  fake_store_before_call (op->fake, NULL, NULL);
+  fclose (op->context.out);
+  fclose (op->context.err);
   return code;
 }
 
 static void
-assert_told (const char *text, const char *part)
+assert_contains (const char *text, const char *part)
 {
   if (strstr (text, part) == NULL)
     fail_msg ("\"%s\" is not in: %s", part, text);
@@ -110,214 +108,215 @@
 static int
 setup (void **state)
 {
-  struct sched *sched = g_new0 (struct sched, 1);
+  struct operator* op = g_new0 (struct operator, 1);
 
-  desk_open (sched, fake_store_create (mt_clock_system ()));
-  *state = sched;
+  operator_init (op, fake_store_create (mt_clock_system ()));
+  *state = op;
   return 0;
 }
 
 static int
 teardown (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
 
-  fake_store_destroy (sched->fake);
-  desk_close (sched);
-  g_free (sched);
+  fake_store_destroy (op->fake);
+  operator_clear (op);
+  g_free (op);
   return 0;
 }
 
 static void
-accept (struct sched *sched, unsigned version, const char *pool)
+apply_accepted (struct operator* op, unsigned version, const char *pool)
 {
-  edit (sched, version, pool);
-  assert_int_equal (apply (sched), MT_EXIT_OK);
+  write_tables_file (op, version, pool);
+  assert_int_equal (run_apply (op), MT_EXIT_OK);
 }
 
-/* A script applies the same file in a loop: one write in all, then one read for each run. */
+/* Guards against a script that applies the same file in a loop writing each time: only the first
+ * run writes, each later one makes a single read. */
 static void
 test_apply_in_a_loop_writes_once (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
 
-  accept (sched, 0, "p");
-  assert_told (sched->out, "\"accepted\":1");
-  assert_int_equal (fake_store_writes (sched->fake), 1);
-  assert_int_equal (fake_store_reads (sched->fake), 2);
+  apply_accepted (op, 0, "p");
+  assert_contains (op->out, "\"accepted\":1");
+  assert_int_equal (fake_store_writes (op->fake), 1);
+  assert_int_equal (fake_store_reads (op->fake), 2);
   for (int i = 0; i < 10; i++)
-    assert_int_equal (apply (sched), MT_EXIT_OK);
-  assert_told (sched->out, "\"unchanged\":true");
-  assert_int_equal (fake_store_writes (sched->fake), 1);
-  assert_int_equal (fake_store_reads (sched->fake), 12);
+    assert_int_equal (run_apply (op), MT_EXIT_OK);
+  assert_contains (op->out, "\"unchanged\":true");
+  assert_int_equal (fake_store_writes (op->fake), 1);
+  assert_int_equal (fake_store_reads (op->fake), 12);
 }
 
-/* A copied file says nothing about what it was edited from: taken blindly, it would undo every edit
- * made since it was copied. */
+/* A file without a version does not show which version it is based on. Accepting it unchecked would
+ * undo every edit made since it was copied. */
 static void
 test_apply_without_version_is_refused (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  edit (sched, 0, "q");
-  assert_int_equal (apply (sched), MT_EXIT_REFUSED);
-  assert_told (sched->err, "--onto VERSION");
-  assert_int_equal (fake_store_writes (sched->fake), 1);
-  sched->context.onto = "1";
-  assert_int_equal (apply (sched), MT_EXIT_OK);
-  assert_told (sched->out, "\"accepted\":2");
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  write_tables_file (op, 0, "q");
+  assert_int_equal (run_apply (op), MT_EXIT_REFUSED);
+  assert_contains (op->err, "--onto VERSION");
+  assert_int_equal (fake_store_writes (op->fake), 1);
+  op->context.onto = "1";
+  assert_int_equal (run_apply (op), MT_EXIT_OK);
+  assert_contains (op->out, "\"accepted\":2");
 }
 
-/* Two operators run `show` at version 1; one applies, then the other: he is told the rows that
- * changed since, and nothing is written over. */
+/* Two operators edit version 1 and apply one after the other. The second gets a conflict with the
+ * rows changed since version 1, and overwrites nothing. */
 static void
-test_apply_tells_what_changed_since (void **state)
+test_apply_conflict_reports_changes_since_base (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  accept (sched, 1, "q");
-  edit (sched, 1, "r");
-  assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
-  assert_told (sched->out, "\"changes_since\":[{\"version\":2");
-  assert_told (sched->out, "\"row\":\"q\",\"change\":\"added\"");
-  assert_int_equal (fake_store_writes (sched->fake), 2);
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  apply_accepted (op, 1, "q");
+  write_tables_file (op, 1, "r");
+  assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
+  assert_contains (op->out, "\"changes_since\":[{\"version\":2");
+  assert_contains (op->out, "\"row\":\"q\",\"change\":\"added\"");
+  assert_int_equal (fake_store_writes (op->fake), 2);
 }
 
-static void
-rival_applies (struct sched *sched)
+static void other_applies (struct operator* op)
 {
-  struct sched rival;
+  struct operator other;
 
-  desk_open (&rival, sched->fake);
-  edit (&rival, 1, "rival");
-  assert_int_equal (apply (&rival), MT_EXIT_OK);
-  desk_close (&rival);
+  operator_init (&other, op->fake);
+  write_tables_file (&other, 1, "other");
+  assert_int_equal (run_apply (&other), MT_EXIT_OK);
+  operator_clear (&other);
 }
 
-/* Both read version 1, the rival's write lands first: exactly one wins, the other is told. */
+/* Two operators read version 1 and the other one's write completes first: exactly one edit is
+ * accepted, and the second operator gets a conflict. */
 static void
 test_apply_race_has_one_winner (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  edit (sched, 1, "mine");
-  sched->act = rival_applies;
-  sched->act_before_call = PUT_CALL;
-  assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
-  assert_told (sched->err, "version 2 was accepted");
-  assert_told (sched->out, "\"row\":\"rival\",\"change\":\"added\"");
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  write_tables_file (op, 1, "mine");
+  op->act = other_applies;
+  op->act_before_call = PUT_CALL;
+  assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
+  assert_contains (op->err, "version 2 was accepted");
+  assert_contains (op->out, "\"row\":\"other\",\"change\":\"added\"");
 }
 
-/* The write takes effect and its answer is lost: reading back the id settles it. */
+/* The write takes effect but its response is lost: reading the id back shows that it was
+ * accepted. */
 static void
-test_apply_settles_a_lost_answer (void **state)
+test_apply_lost_response_is_resolved_by_reading_back (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
 
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE, 1, true);
-  accept (sched, 0, "p");
-  assert_told (sched->out, "\"accepted\":1");
-  assert_int_equal (fake_store_writes (sched->fake), 1);
+  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE, 1, true);
+  apply_accepted (op, 0, "p");
+  assert_contains (op->out, "\"accepted\":1");
+  assert_int_equal (fake_store_writes (op->fake), 1);
 }
 
-static void
-rival_applies_on_mine (struct sched *sched)
+static void other_applies_on_top (struct operator* op)
 {
-  struct sched rival;
+  struct operator other;
 
-  desk_open (&rival, sched->fake);
-  edit (&rival, 2, "rival");
-  assert_int_equal (apply (&rival), MT_EXIT_OK);
-  desk_close (&rival);
+  operator_init (&other, op->fake);
+  write_tables_file (&other, 2, "other");
+  assert_int_equal (run_apply (&other), MT_EXIT_OK);
+  operator_clear (&other);
 }
 
-/* The answer is lost, and before the operator's tool reads back, another edit is accepted on top:
- * the id is no longer the value's own, but its log of changes still has it. */
+/* The response is lost, and another edit is accepted on top before the write is read back: the id
+ * of the tables is then another one, but their change log still holds the id of the first edit. */
 static void
-test_apply_finds_its_edit_below_a_later_one (void **state)
+test_apply_finds_its_edit_in_the_change_log (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  edit (sched, 1, "mine");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE, 1, true);
-  sched->act = rival_applies_on_mine;
-  sched->act_before_call = PUT_CALL + 1;
-  assert_int_equal (apply (sched), MT_EXIT_OK);
-  assert_told (sched->out, "\"accepted\":2");
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  write_tables_file (op, 1, "mine");
+  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE, 1, true);
+  op->act = other_applies_on_top;
+  op->act_before_call = PUT_CALL + 1;
+  assert_int_equal (run_apply (op), MT_EXIT_OK);
+  assert_contains (op->out, "\"accepted\":2");
 }
 
-/* The write is lost on its way and a rival's lands: told as a conflict, with the rival's rows. */
+/* The write is lost before it reaches the store, and another operator's edit is accepted: reported
+ * as a conflict with the rows of the other edit. */
 static void
-test_apply_lost_write_and_rival_is_a_conflict (void **state)
+test_apply_lost_write_with_competing_edit_is_a_conflict (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  edit (sched, 1, "mine");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_DROP, 1, true);
-  sched->act = rival_applies;
-  sched->act_before_call = PUT_CALL + 1;
-  assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
-  assert_null (strstr (sched->err, "unknown error"));
-  assert_told (sched->out, "\"row\":\"rival\"");
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  write_tables_file (op, 1, "mine");
+  fake_store_fault_next (op->fake, FAKE_FAULT_DROP, 1, true);
+  op->act = other_applies;
+  op->act_before_call = PUT_CALL + 1;
+  assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
+  assert_null (strstr (op->err, "unknown error"));
+  assert_contains (op->out, "\"row\":\"other\"");
 }
 
-/* The write is held up in the network for longer than the tool reads back: to say "conflict" or
- * "not accepted" would be wrong, since it arrives after all. */
+/* The write is delayed in the network for longer than apply reads back. It still arrives, so
+ * reporting "conflict" or "not accepted" would be wrong. */
 static void
 test_apply_late_write_is_unknown (void **state)
 {
-  struct sched *sched = *state;
-
-  accept (sched, 0, "p");
-  edit (sched, 1, "late");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LATE, 1, true);
-  assert_int_equal (apply (sched), MT_EXIT_UNKNOWN);
-  fake_store_deliver (sched->fake);
-  assert_int_equal (apply (sched), MT_EXIT_OK);
-  assert_told (sched->out, "\"accepted\":2");
-  assert_told (sched->out, "\"unchanged\":true");
+  struct operator* op = * state;
+
+  apply_accepted (op, 0, "p");
+  write_tables_file (op, 1, "late");
+  fake_store_fault_next (op->fake, FAKE_FAULT_LATE, 1, true);
+  assert_int_equal (run_apply (op), MT_EXIT_UNKNOWN);
+  fake_store_deliver (op->fake);
+  assert_int_equal (run_apply (op), MT_EXIT_OK);
+  assert_contains (op->out, "\"accepted\":2");
+  assert_contains (op->out, "\"unchanged\":true");
 }
 
-/* The store holds tables that an older release took and this one refuses, here 16 slots: they are
- * replaced only by an operator who names their version. */
+/* The store holds tables that an older release accepted and this one refuses, here for 16 slots:
+ * only an operator who names their version may replace them. */
 static void
 test_apply_over_unreadable_tables_needs_their_version (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
 
-  fake_store_force (sched->fake, MT_TABLES_KEY,
+  fake_store_force (op->fake, MT_TABLES_KEY,
                     "{\"version\":6,\"routes\":[],\"pools\":[{\"pool\":\"p\",\"slots\":16}]}");
-  edit (sched, 6, "q");
-  assert_int_equal (apply (sched), MT_EXIT_REFUSED);
-  assert_told (sched->err, "give --onto 6");
-  sched->context.onto = "5";
-  assert_int_equal (apply (sched), MT_EXIT_REFUSED);
-  assert_int_equal (fake_store_writes (sched->fake), 0);
-  sched->context.onto = "6";
-  assert_int_equal (apply (sched), MT_EXIT_OK);
-  assert_told (sched->out, "\"accepted\":7");
+  write_tables_file (op, 6, "q");
+  assert_int_equal (run_apply (op), MT_EXIT_REFUSED);
+  assert_contains (op->err, "give --onto 6");
+  op->context.onto = "5";
+  assert_int_equal (run_apply (op), MT_EXIT_REFUSED);
+  assert_int_equal (fake_store_writes (op->fake), 0);
+  op->context.onto = "6";
+  assert_int_equal (run_apply (op), MT_EXIT_OK);
+  assert_contains (op->out, "\"accepted\":7");
 }
 
 static void
 test_apply_during_an_outage (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
 
-  edit (sched, 0, "p");
-  fake_store_set_down (sched->fake, true);
-  assert_int_equal (apply (sched), MT_EXIT_UNAVAILABLE);
-  assert_told (sched->out, "\"kind\":\"unavailable\"");
+  write_tables_file (op, 0, "p");
+  fake_store_set_down (op->fake, true);
+  assert_int_equal (run_apply (op), MT_EXIT_UNAVAILABLE);
+  assert_contains (op->out, "\"kind\":\"unavailable\"");
 }
 
-static char *
-accepted_text (struct sched *sched)
+static char *read_accepted_tables (struct operator* op)
 {
-  const struct mt_store *store = fake_store_store (sched->fake);
+  const struct mt_store *store = fake_store_store (op->fake);
   struct mt_store_value value;
 
   assert_true (store->ops->get (store->ctx, MT_TABLES_KEY, &value, NULL));
@@ -325,72 +324,71 @@
   return value.data;
 }
 
-/* The store comes back from an older backup. The operator's file was edited from the newer version,
- * so the tool can see it and writes nothing. */
+/* The store is restored from an older backup. The operator's file is based on the newer version, so
+ * apply detects the restore and writes nothing. */
 static void
-test_apply_sees_a_restored_store (void **state)
+test_apply_detects_a_restored_store (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
   g_autofree char *backup = NULL;
 
-  accept (sched, 0, "p");
-  backup = accepted_text (sched);
-  accept (sched, 1, "q");
-  fake_store_force (sched->fake, MT_TABLES_KEY, backup);
-  edit (sched, 2, "r");
-  assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
-  assert_told (sched->err, "restored");
-  assert_int_equal (fake_store_writes (sched->fake), 2);
+  apply_accepted (op, 0, "p");
+  backup = read_accepted_tables (op);
+  apply_accepted (op, 1, "q");
+  fake_store_force (op->fake, MT_TABLES_KEY, backup);
+  write_tables_file (op, 2, "r");
+  assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
+  assert_contains (op->err, "restored");
+  assert_int_equal (fake_store_writes (op->fake), 2);
 }
 
-static char *newer_text;
+static char *newer_tables;
 
-static void
-daemon_repairs (struct sched *sched)
+static void daemon_writes_back (struct operator* op)
 {
-  fake_store_force (sched->fake, MT_TABLES_KEY, newer_text);
+  fake_store_force (op->fake, MT_TABLES_KEY, newer_tables);
 }
 
-/* The same, but the operator edited what the restored store showed. His write is taken as version
- * 2, which daemons hold with other rows; a daemon puts its version 2 back. He must not read
- * "accepted" for an edit that is in force nowhere. */
+/* The store is restored from an older backup and the operator edits the restored version. The store
+ * accepts the write as version 2; daemons hold another version 2, and one of them writes it back.
+ * apply must not report "accepted" for an edit that is in force nowhere. */
 static void
 test_apply_onto_a_restored_store_is_not_accepted (void **state)
 {
-  struct sched *sched = *state;
+  struct operator* op = * state;
   g_autofree char *backup = NULL;
 
-  accept (sched, 0, "p");
-  backup = accepted_text (sched);
-  accept (sched, 1, "q");
-  newer_text = accepted_text (sched);
-  fake_store_force (sched->fake, MT_TABLES_KEY, backup);
-  edit (sched, 1, "r");
-  sched->act = daemon_repairs;
-  sched->act_at_pause = true;
-  assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
-  assert_told (sched->err, "restored");
-  assert_null (strstr (sched->out, "accepted"));
-  g_free (newer_text);
+  apply_accepted (op, 0, "p");
+  backup = read_accepted_tables (op);
+  apply_accepted (op, 1, "q");
+  newer_tables = read_accepted_tables (op);
+  fake_store_force (op->fake, MT_TABLES_KEY, backup);
+  write_tables_file (op, 1, "r");
+  op->act = daemon_writes_back;
+  op->act_at_pause = true;
+  assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
+  assert_contains (op->err, "restored");
+  assert_null (strstr (op->out, "accepted"));
+  g_free (newer_tables);
 }
 
 int
 main (void)
 {
-#define DESK_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
+#define OPERATOR_TEST(name) cmocka_unit_test_setup_teardown (name, setup, teardown)
   const struct CMUnitTest tests[] = {
-    DESK_TEST (test_apply_in_a_loop_writes_once),
-    DESK_TEST (test_apply_without_version_is_refused),
-    DESK_TEST (test_apply_tells_what_changed_since),
-    DESK_TEST (test_apply_race_has_one_winner),
-    DESK_TEST (test_apply_settles_a_lost_answer),
-    DESK_TEST (test_apply_finds_its_edit_below_a_later_one),
-    DESK_TEST (test_apply_lost_write_and_rival_is_a_conflict),
-    DESK_TEST (test_apply_late_write_is_unknown),
-    DESK_TEST (test_apply_over_unreadable_tables_needs_their_version),
-    DESK_TEST (test_apply_during_an_outage),
-    DESK_TEST (test_apply_sees_a_restored_store),
-    DESK_TEST (test_apply_onto_a_restored_store_is_not_accepted),
+    OPERATOR_TEST (test_apply_in_a_loop_writes_once),
+    OPERATOR_TEST (test_apply_without_version_is_refused),
+    OPERATOR_TEST (test_apply_conflict_reports_changes_since_base),
+    OPERATOR_TEST (test_apply_race_has_one_winner),
+    OPERATOR_TEST (test_apply_lost_response_is_resolved_by_reading_back),
+    OPERATOR_TEST (test_apply_finds_its_edit_in_the_change_log),
+    OPERATOR_TEST (test_apply_lost_write_with_competing_edit_is_a_conflict),
+    OPERATOR_TEST (test_apply_late_write_is_unknown),
+    OPERATOR_TEST (test_apply_over_unreadable_tables_needs_their_version),
+    OPERATOR_TEST (test_apply_during_an_outage),
+    OPERATOR_TEST (test_apply_detects_a_restored_store),
+    OPERATOR_TEST (test_apply_onto_a_restored_store_is_not_accepted),
   };
 
   return cmocka_run_group_tests_name ("apply", tests, NULL, NULL);
--- a/tests/ctl/test_explain.c
+++ b/tests/ctl/test_explain.c
@@ -1,4 +1,4 @@
-/* Three kinds of failed request, explained from logs alone. The lines are those of
+/* `explain` names the cause of a job's failure or delay from logs alone. The log lines come from
  * docs/OPERATIONS.md, as daemons wrote them. */
 #include "commands.h"
 
@@ -13,7 +13,7 @@
 #include <cmocka.h>
 
 static char *
-cause_of (const char *logs, const char *id, int *code)
+explain_cause (const char *logs, const char *id, int *code)
 {
   char *out = NULL;
   size_t len = 0;
@@ -34,9 +34,9 @@
   return cause;
 }
 
-/* The page's block behind the heading: what stands between its first pair of ``` lines. */
+/* Returns the text of the first ``` block after the heading on the page. */
 static char *
-page_lines (const char *heading)
+read_page_lines (const char *heading)
 {
   g_autofree char *path
       = g_build_filename (g_getenv ("MT_SOURCE_ROOT"), "docs", "OPERATIONS.md", NULL);
@@ -55,13 +55,13 @@
 }
 
 static void
-explain_page (const char *heading, const char *id, const char *expected)
+check_page_cause (const char *heading, const char *id, const char *expected)
 {
-  g_autofree char *lines = page_lines (heading);
+  g_autofree char *lines = read_page_lines (heading);
   g_autofree char *cause = NULL;
   int code;
 
-  cause = cause_of (lines, id, &code);
+  cause = explain_cause (lines, id, &code);
   assert_int_equal (code, MT_EXIT_OK);
   assert_string_equal (cause, expected);
 }
@@ -69,72 +69,73 @@
 static void
 test_refused_in_an_outage (void **state)
 {
-  explain_page ("## Refused", "00f6226332f5636d",
-                "refused, it never ran: the store does not answer, nothing was sent");
+  check_page_cause ("## Refused", "00f6226332f5636d",
+                    "refused, it never ran: the store does not answer, nothing was sent");
 }
 
 static void
 test_accepted_but_late (void **state)
 {
-  explain_page ("## Accepted, but late", "f71564d94cf1ed4b",
-                "completed 10342 ms after its acceptance; it waited 5995 ms for its first start "
-                "behind 1040 waiting tasks of its pool, with 77900 of 80000 thousandths of a core "
-                "used");
+  check_page_cause (
+      "## Accepted, but late", "f71564d94cf1ed4b",
+      "completed 10342 ms after its acceptance; it waited 5995 ms for its first start "
+      "behind 1040 waiting tasks of its pool, with 77900 of 80000 thousandths of a core "
+      "used");
 }
 
 static void
 test_run_again_after_its_worker_was_lost (void **state)
 {
-  explain_page ("## Accepted, its worker lost", "7cca71efe496b5df",
-                "completed 11269 ms after its acceptance; 2 of its tasks were lost with worker "
-                "i-2ee2a0921f (lease over) and run again");
+  check_page_cause ("## Accepted, its worker lost", "7cca71efe496b5df",
+                    "completed 11269 ms after its acceptance; 2 of its tasks were lost with worker "
+                    "i-2ee2a0921f (lease over) and run again");
 }
 
-/* A start of which the worker never told is named as what cost the caller its time. */
 static void
-test_job_that_was_given_up_is_told_why (void **state)
+test_given_up_job_names_the_cause (void **state)
 {
-  explain_page ("## Accepted, and given up", "7cca71efe496b5e0",
-                "failed 5425 ms after its acceptance; 2 of its tasks were lost with worker i-m1-1 "
-                "(another answers at its address) and run again; given up, since the workers that "
-                "started task 0.0 of it crashed, 2 in a row");
+  check_page_cause (
+      "## Accepted, and given up", "7cca71efe496b5e0",
+      "failed 5425 ms after its acceptance; 2 of its tasks were lost with worker i-m1-1 "
+      "(another answers at its address) and run again; given up, since the workers that "
+      "started task 0.0 of it crashed, 2 in a row");
 }
 
+/* A start that the worker never confirmed is named as the cause of the delay. */
 static void
-test_start_without_an_answer_is_named (void **state)
+test_start_without_an_answer_names_the_cause (void **state)
 {
   const char *lines
       = "{\"at\":1.0,\"event\":8101,\"name\":\"JOB_ACCEPTED\",\"id\":\"00f6226332f5636d\"}\n"
         "{\"at\":2.0,\"event\":8208,\"name\":\"TASK_MISSED\",\"id\":\"00f6226332f5636d\"}\n";
   int code;
-  g_autofree char *cause = cause_of (lines, "00f6226332f5636d", &code);
+  g_autofree char *cause = explain_cause (lines, "00f6226332f5636d", &code);
 
   assert_int_equal (code, MT_EXIT_OK);
   assert_string_equal (cause, "accepted, not begun; 1 of its starts got no answer and were stopped "
                               "for certainty");
 }
 
-/* Guards against a caller whose key was taken away and who is told nothing of it. */
+/* Guards against a caller whose key was revoked getting no reason for the refusal. */
 static void
-test_refused_caller_is_told_why (void **state)
+test_refused_caller_names_the_reason (void **state)
 {
   const char *lines = "{\"at\":1.0,\"event\":8108,\"name\":\"CALLER_REFUSED\","
                       "\"id\":\"00f6226332f5636d\",\"status\":401,\"why\":\"unknown key\"}\n";
   int code;
-  g_autofree char *cause = cause_of (lines, "00f6226332f5636d", &code);
+  g_autofree char *cause = explain_cause (lines, "00f6226332f5636d", &code);
 
   assert_int_equal (code, MT_EXIT_OK);
   assert_string_equal (cause, "its caller was refused, nothing was stored: unknown key");
 }
 
-/* A job of which no line tells is an error that says what to collect; lines that are no events are
- * passed over. */
+/* A job that no log line mentions is an error; lines that are not events are skipped. */
 static void
 test_unknown_job_is_an_error (void **state)
 {
   int code;
   g_autofree char *cause
-      = cause_of ("some collector's words\n{\"x\":1}\n{broken\n", "00f6226332f5636d", &code);
+      = explain_cause ("some collector's words\n{\"x\":1}\n{broken\n", "00f6226332f5636d", &code);
 
   assert_int_equal (code, MT_EXIT_REFUSED);
   assert_string_equal (cause, "no daemon's log tells of its acceptance");
@@ -146,10 +147,10 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_refused_in_an_outage),
     cmocka_unit_test (test_accepted_but_late),
-    cmocka_unit_test (test_job_that_was_given_up_is_told_why),
+    cmocka_unit_test (test_given_up_job_names_the_cause),
     cmocka_unit_test (test_run_again_after_its_worker_was_lost),
-    cmocka_unit_test (test_start_without_an_answer_is_named),
-    cmocka_unit_test (test_refused_caller_is_told_why),
+    cmocka_unit_test (test_start_without_an_answer_names_the_cause),
+    cmocka_unit_test (test_refused_caller_names_the_reason),
     cmocka_unit_test (test_unknown_job_is_an_error),
   };
 
--- a/tests/ctl/test_pages.c
+++ b/tests/ctl/test_pages.c
@@ -1,4 +1,5 @@
-/* Holds the operators' pages to the code: every column, key, option, command and exit code. */
+/* Checks that the operators' pages document every column, settings key, option, command and exit
+ * code of the code. */
 #include "commands.h"
 #include "settings_internal.h"
 #include "tables_internal.h"
@@ -64,9 +65,9 @@
   return g_strdup_printf ("%.10g", field->fallback);
 }
 
-/* The text under a heading, up to the next one. */
+/* Returns the text under a heading, up to the next heading. */
 static char *
-section_of (const char *page, const char *heading)
+find_section (const char *page, const char *heading)
 {
   g_autofree char *line = g_strdup_printf ("\n### %s\n", heading);
   const char *start = strstr (page, line);
@@ -93,9 +94,9 @@
 }
 
 static void
-check_section (const char *page, const char *heading, const struct mt_field *fields)
+check_table_section (const char *page, const char *heading, const struct mt_field *fields)
 {
-  g_autofree char *section = section_of (page, heading);
+  g_autofree char *section = find_section (page, heading);
   unsigned expected = 0;
 
   for (; fields->name != NULL; fields++, expected++)
@@ -118,12 +119,12 @@
   g_autofree char *page = read_page ("docs", "operators.md");
 
   for (size_t i = 0; i < G_N_ELEMENTS (tables); i++)
-    check_section (page, tables[i], mt_tables_columns (tables[i]));
-  check_section (page, "settings", mt_settings_fields (NULL));
-  check_section (page, "settings, limits", mt_settings_fields ("limits"));
+    check_table_section (page, tables[i], mt_tables_columns (tables[i]));
+  check_table_section (page, "settings", mt_settings_fields (NULL));
+  check_table_section (page, "settings, limits", mt_settings_fields ("limits"));
 }
 
-/* Runs a program of the build; its exit status, and its standard output. */
+/* Runs a program of the build. Returns its exit status; *out is its standard output. */
 static int
 run (char **out, const char *program, const char *argument, const char *value)
 {
@@ -136,7 +137,7 @@
   return WEXITSTATUS (status);
 }
 
-/* Each "--option" of --help stands in the man page, its dashes escaped as troff wants it. */
+/* Checks that the man page names each "--option" of --help, with its dashes escaped for troff. */
 static void
 check_man_page (const char *program, const char *page_name)
 {
@@ -188,7 +189,8 @@
     }
 }
 
-/* The exit codes that a script meets without a platform, as the pages give them. */
+/* Checks that the page lists every exit code, and that the codes that can be provoked without a
+ * platform are the documented ones. */
 static void
 test_exit_codes_are_as_documented (void **state)
 {
