--- a/bench/bench_member.c
+++ b/bench/bench_member.c
@@ -80,7 +80,7 @@
   g_usleep (measure_s * G_USEC_PER_SEC);
   after = mt_peers_traffic (peers);
   cpu = cpu_s () - cpu;
-  mt_peers_each (peers, NULL, count_visit, &members);
+  mt_peers_each_alive (peers, NULL, count_visit, &members);
   getrusage (RUSAGE_SELF, &usage);
   printf ("figures %s members=%u in_Bps=%.0f out_Bps=%.0f frames_ps=%.2f cpu_percent=%.3f "
           "rss_mb=%.1f\n",
--- a/daemon/answer.c
+++ b/daemon/answer.c
@@ -18,7 +18,7 @@
 
 /* The request's memory is used up: the caller still gets an answer with a type. */
 void
-mt_answer_without_memory (struct mt_http_request *request, bool not_run)
+mt_answer_out_of_memory (struct mt_http_request *request, bool not_run)
 {
   static const struct mt_http_header not_run_headers[] = {
     { MT_STR ("Content-Type"), MT_STR ("application/json") },
@@ -51,7 +51,7 @@
   answer->body = mt_arena_dup (request->arena, mt_str_from (body));
   if (headers == NULL || answer->body.data == NULL)
     {
-      mt_answer_without_memory (request, strcmp (typed->outcome, "not-run") == 0);
+      mt_answer_out_of_memory (request, strcmp (typed->outcome, "not-run") == 0);
       return;
     }
   headers[0] = plain_headers[0];
--- a/daemon/answer.h
+++ b/daemon/answer.h
@@ -19,7 +19,7 @@
                       struct mt_str id,
                       const struct mt_answer_typed *typed);
 /* The request's memory is used up: the caller still gets an answer with a type. */
-void mt_answer_without_memory (struct mt_http_request *request, bool not_run);
+void mt_answer_out_of_memory (struct mt_http_request *request, bool not_run);
 
 /* A header by which the daemon speaks to callers and minions; it is not passed on for others. */
 bool mt_answer_is_own_header (struct mt_str name);
--- a/daemon/claim_owner.c
+++ b/daemon/claim_owner.c
@@ -37,7 +37,7 @@
 
   if (peers == NULL)
     return NULL;
-  mt_peers_each (peers, NULL, weigh, &election);
+  mt_peers_each_alive (peers, NULL, weigh, &election);
   if (g_strcmp0 (election.name, self) == 0)
     g_clear_pointer (&election.name, g_free);
   return election.name;
@@ -67,7 +67,7 @@
 }
 
 char *
-mt_claim_owner_reply (enum mt_once_result result, int status, size_t *len)
+mt_claim_owner_encode_reply (enum mt_once_result result, int status, size_t *len)
 {
   msgpack_sbuffer buffer;
   msgpack_packer packer;
@@ -81,7 +81,7 @@
   return msgpack_sbuffer_release (&buffer);
 }
 
-static enum mt_claim_sent
+static enum mt_claim_send_result
 send_batch (struct mt_peers *peers,
             const char *owner,
             const struct mt_batch *batch,
@@ -97,18 +97,18 @@
 
   if (!mt_peers_call (peers, owner, MT_PEER_CLAIM, (struct mt_str){ body, len }, deadline_us,
                       &reply, &reply_len, &error))
-    return g_error_matches (error, MT_ERROR, MT_ERROR_UNAVAILABLE) ? MT_CLAIM_SENT_NOT
-                                                                   : MT_CLAIM_SENT_UNKNOWN;
+    return g_error_matches (error, MT_ERROR, MT_ERROR_UNAVAILABLE) ? MT_CLAIM_SEND_FAILED
+                                                                   : MT_CLAIM_SEND_UNKNOWN;
   ok = read_reply ((struct mt_str){ reply, reply_len }, ask);
   free (reply);
-  return ok ? MT_CLAIM_SENT_ANSWERED : MT_CLAIM_SENT_UNKNOWN;
+  return ok ? MT_CLAIM_SEND_ANSWERED : MT_CLAIM_SEND_UNKNOWN;
 }
 
-enum mt_claim_sent
-mt_claim_owner_ask (struct mt_peers *peers,
-                    const char *owner,
-                    const struct mt_clock *clock,
-                    struct mt_once_request *ask)
+enum mt_claim_send_result
+mt_claim_owner_request (struct mt_peers *peers,
+                        const char *owner,
+                        const struct mt_clock *clock,
+                        struct mt_once_request *ask)
 {
   struct mt_record record = { .kind = MT_RECORD_CLAIM,
                               .extra = ask->holder_timeout_ms,
@@ -116,7 +116,7 @@
   int64_t now = mt_clock_now (clock);
   int64_t left_us = MAX (0, ask->claim_deadline_us - now) * 2 / 3;
   struct mt_batch batch;
-  enum mt_claim_sent sent;
+  enum mt_claim_send_result sent;
 
   memcpy (record.attempt, ask->attempt, sizeof record.attempt);
   mt_batch_init (&batch);
@@ -128,18 +128,18 @@
 }
 
 bool
-mt_claim_owner_end (struct mt_peers *peers,
-                    const char *owner,
-                    const struct mt_clock *clock,
-                    const GArray *ends)
+mt_claim_owner_send_ends (struct mt_peers *peers,
+                          const char *owner,
+                          const struct mt_clock *clock,
+                          const GArray *ends)
 {
   struct mt_once_request ask = { 0 };
   struct mt_batch batch;
-  enum mt_claim_sent sent;
+  enum mt_claim_send_result sent;
 
   mt_batch_init (&batch);
   g_array_append_vals (batch.records, ends->data, ends->len);
   sent = send_batch (peers, owner, &batch, mt_clock_now (clock) + END_CALL_US, &ask);
   mt_batch_clear (&batch);
-  return sent == MT_CLAIM_SENT_ANSWERED && ask.result == MT_ONCE_GRANTED;
+  return sent == MT_CLAIM_SEND_ANSWERED && ask.result == MT_ONCE_GRANTED;
 }
--- a/daemon/claim_owner.h
+++ b/daemon/claim_owner.h
@@ -11,26 +11,26 @@
  * there are no peers. g_free it. */
 char *mt_claim_owner_find (struct mt_peers *peers, const char *self, unsigned shard);
 
-enum mt_claim_sent
+enum mt_claim_send_result
 {
-  MT_CLAIM_SENT_ANSWERED,
-  MT_CLAIM_SENT_NOT,     /* not delivered */
-  MT_CLAIM_SENT_UNKNOWN, /* perhaps claimed there */
+  MT_CLAIM_SEND_ANSWERED,
+  MT_CLAIM_SEND_FAILED,  /* not delivered */
+  MT_CLAIM_SEND_UNKNOWN, /* perhaps claimed there */
 };
 
 /* Asks the owner for one claim; the ask's result is set where it answered. The owner gives up
  * before this daemon does, which keeps a third of the time to commit the claim itself. */
-enum mt_claim_sent mt_claim_owner_ask (struct mt_peers *peers,
-                                       const char *owner,
-                                       const struct mt_clock *clock,
-                                       struct mt_once_request *ask);
+enum mt_claim_send_result mt_claim_owner_request (struct mt_peers *peers,
+                                                  const char *owner,
+                                                  const struct mt_clock *clock,
+                                                  struct mt_once_request *ask);
 /* Hands ends over; false where that is not certain. */
-bool mt_claim_owner_end (struct mt_peers *peers,
-                         const char *owner,
-                         const struct mt_clock *clock,
-                         const GArray *ends);
+bool mt_claim_owner_send_ends (struct mt_peers *peers,
+                               const char *owner,
+                               const struct mt_clock *clock,
+                               const GArray *ends);
 
 /* The owner's side of a reply. malloced. */
-char *mt_claim_owner_reply (enum mt_once_result result, int status, size_t *len);
+char *mt_claim_owner_encode_reply (enum mt_once_result result, int status, size_t *len);
 
 #endif
--- a/daemon/claims.c
+++ b/daemon/claims.c
@@ -297,19 +297,19 @@
   g_autofree char *owner
       = mt_claim_owner_find (claims->options.peers, claims->options.name, number_shard (ask->key));
   struct mt_record record = { .kind = MT_RECORD_RELEASE, .key = { ask->key[0], ask->key[1] } };
-  enum mt_claim_sent sent;
+  enum mt_claim_send_result sent;
 
   if (owner == NULL)
     return false;
-  sent = mt_claim_owner_ask (claims->options.peers, owner, claims->options.clock, ask);
-  if (sent == MT_CLAIM_SENT_ANSWERED && ask->result != MT_ONCE_UNAVAILABLE)
+  sent = mt_claim_owner_request (claims->options.peers, owner, claims->options.clock, ask);
+  if (sent == MT_CLAIM_SEND_ANSWERED && ask->result != MT_ONCE_UNAVAILABLE)
     {
       __atomic_add_fetch (&claims->sent, 1, __ATOMIC_RELAXED);
       return true;
     }
   __atomic_add_fetch (&claims->fallen, 1, __ATOMIC_RELAXED);
   memcpy (record.attempt, ask->attempt, sizeof record.attempt);
-  if (sent == MT_CLAIM_SENT_UNKNOWN)
+  if (sent == MT_CLAIM_SEND_UNKNOWN)
     end_here (claims, &record);
   start_attempt (claims, ask);
   return false;
@@ -345,11 +345,11 @@
 }
 
 enum mt_claim_result
-mt_claims_take (struct mt_claims *claims,
-                struct mt_str scope,
-                struct mt_str key,
-                int64_t deadline_us,
-                struct mt_claim *claim)
+mt_claims_acquire (struct mt_claims *claims,
+                   struct mt_str scope,
+                   struct mt_str key,
+                   int64_t deadline_us,
+                   struct mt_claim *claim)
 {
   int64_t now = mt_clock_now (claims->options.clock);
   struct mt_once_request ask = { .claim_deadline_us = MIN (deadline_us, now + MAX_WAIT_US) };
@@ -424,7 +424,7 @@
     }
   owner = mt_claim_owner_find (claims->options.peers, claims->options.name, shard);
   if (owner != NULL
-      && mt_claim_owner_end (claims->options.peers, owner, claims->options.clock, chosen))
+      && mt_claim_owner_send_ends (claims->options.peers, owner, claims->options.clock, chosen))
     return;
   for (guint i = 0; i < chosen->len; i++)
     end_here (claims, &g_array_index (chosen, struct mt_record, i));
@@ -483,7 +483,7 @@
       else
         goto done; /* one claim to a frame: its reply has room for one result */
     }
-  reply = mt_claim_owner_reply (ask.result, ask.status, reply_len);
+  reply = mt_claim_owner_encode_reply (ask.result, ask.status, reply_len);
 done:
   mt_batch_clear (&batch);
   return reply;
--- a/daemon/claims.h
+++ b/daemon/claims.h
@@ -53,11 +53,11 @@
 
 /* scope is what keys are told apart within: the request's own path, which is the same when it is
  * sent again. A name from the tables would not do: an operator may rename it in between. */
-enum mt_claim_result mt_claims_take (struct mt_claims *claims,
-                                     struct mt_str scope,
-                                     struct mt_str key,
-                                     int64_t deadline_us,
-                                     struct mt_claim *claim);
+enum mt_claim_result mt_claims_acquire (struct mt_claims *claims,
+                                        struct mt_str scope,
+                                        struct mt_str key,
+                                        int64_t deadline_us,
+                                        struct mt_claim *claim);
 /* Records the end of a granted claim; does not wait. */
 void mt_claims_end (struct mt_claims *claims,
                     const struct mt_claim *claim,
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -303,7 +303,7 @@
                                            reboot->instance, reboot->epoch);
   struct mt_http_call call = { .method = "PUT",
                                .path = path,
-                               .deadline_us = now_us (control) + control->options.call_us,
+                               .deadline_us = now_us (control) + control->options.call_timeout_us,
                                .max_answer = REBOOT_BYTES };
   struct mt_http_answer answer;
 
@@ -514,14 +514,14 @@
 
   control->options = *options;
   control->client = mt_http_client_create (options->clock);
-  control->platform
-      = mt_platform_create (control->client, options->clock, options->platform, options->call_us);
+  control->platform = mt_platform_create (control->client, options->clock, options->platform,
+                                          options->call_timeout_us);
   control->store = mt_platform_store (control->platform);
   lease_key = g_strdup_printf ("%s%s", MT_PLANNER_PREFIX, options->zone);
   control->lease = mt_lease_create (control->store, options->clock, lease_key, options->name);
   control->watch_client = mt_http_client_create (options->clock);
   control->watch_platform = mt_platform_create (control->watch_client, options->clock,
-                                                options->platform, options->call_us);
+                                                options->platform, options->call_timeout_us);
   control->watched = mt_platform_store (control->watch_platform);
   control->key = g_strdup_printf ("%s%s", MT_ASSIGN_PREFIX, options->zone);
   control->holder_key
@@ -532,7 +532,7 @@
   g_mutex_init (&control->lock);
   g_cond_init (&control->changed);
   control->refs = 2;
-  mt_view_listen_after (options->views, wake, control);
+  mt_view_add_after_listener (options->views, wake, control);
   g_thread_unref (g_thread_new ("assign", run_watcher, control));
   control->planner = g_thread_new ("planner", run_planner, control);
   return control;
--- a/daemon/control.h
+++ b/daemon/control.h
@@ -16,8 +16,8 @@
   const struct mt_clock *clock;
   const char *name; /* of this daemon */
   const char *zone;
-  const char *platform; /* IP:PORT */
-  int64_t call_us;      /* bound on one call of the platform */
+  const char *platform;    /* IP:PORT */
+  int64_t call_timeout_us; /* bound on one call of the platform */
   struct mt_view_holder *views;
   struct mt_pools *pools;
   /* Calls visit for each live daemon of the data centre, this one included. */
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -69,12 +69,12 @@
   options.callbacks = mt_heartbeat_callbacks ();
   options.ctx = daemon->heartbeat;
   daemon->peers = mt_peers_create (&options);
-  mt_peers_carry (daemon->peers, mt_document_tables (), daemon->views);
+  mt_peers_add_document (daemon->peers, mt_document_tables (), daemon->views);
   mt_heartbeat_set_proxied (daemon->heartbeat, daemon->proxied);
   daemon->assign = (struct mt_assign_source){ daemon->views, daemon->proxied };
-  mt_peers_carry (daemon->peers, mt_document_assign (), &daemon->assign);
+  mt_peers_add_document (daemon->peers, mt_document_assign (), &daemon->assign);
   mt_peer_server_handle (daemon->peer_server, MT_PEER_DUMP, serve_dump, daemon);
-  mt_view_listen_after (daemon->views, mt_peers_kick, daemon->peers);
+  mt_view_add_after_listener (daemon->views, mt_peers_trigger_heartbeat, daemon->peers);
 }
 
 static void
@@ -83,7 +83,7 @@
              void (*visit) (void *visit_ctx, const struct mt_member *member),
              void *visit_ctx)
 {
-  mt_peers_each (ctx, zone, visit, visit_ctx);
+  mt_peers_each_alive (ctx, zone, visit, visit_ctx);
 }
 
 static struct mt_control *
@@ -95,7 +95,7 @@
     .name = settings->name.data,
     .zone = settings->zone.data,
     .platform = settings->platform.data,
-    .call_us = settings->limits.platform_ms * MT_MS,
+    .call_timeout_us = settings->limits.platform_ms * MT_MS,
     .views = daemon->views,
     .pools = daemon->pools,
     .each_member = each_member,
@@ -138,7 +138,7 @@
   daemon->views = mt_view_holder_create (daemon->clock);
   daemon->proxied = mt_proxied_create (daemon->views, settings->zone.data);
   daemon->pools = mt_pools_create (daemon->clock, daemon->views, settings->zone.data);
-  mt_view_listen (daemon->views, mt_pools_refresh, daemon->pools);
+  mt_view_add_listener (daemon->views, mt_pools_refresh, daemon->pools);
   create_peers (daemon);
   claims.breaker = mt_platform_breaker (daemon->platform);
   claims.peers = daemon->peers;
@@ -146,7 +146,7 @@
   daemon->claims = mt_claims_create (&claims);
   mt_peer_server_handle (daemon->peer_server, MT_PEER_CLAIM, mt_claims_serve, daemon->claims);
   feed.platform = settings->platform.data;
-  feed.call_us = settings->limits.platform_ms * MT_MS;
+  feed.call_timeout_us = settings->limits.platform_ms * MT_MS;
   feed.views = daemon->views;
   daemon->control = create_control (daemon);
   daemon->jobs = create_jobs (daemon);
--- a/daemon/document_assign.c
+++ b/daemon/document_assign.c
@@ -14,7 +14,7 @@
 {
   const struct mt_assign_source *source = ctx;
 
-  return mt_proxied_note (source->proxied, name);
+  return mt_proxied_add (source->proxied, name);
 }
 
 static char *
@@ -55,10 +55,10 @@
   .description = "which pool each instance of the data centre serves",
   .type = MT_PEER_ASSIGN,
   .version = assign_version,
-  .handing = assign_handing,
+  .before_send = assign_handing,
   .format = assign_format,
   .offer = assign_offer,
-  .version_of = assign_version_of,
+  .member_version = assign_version_of,
 };
 
 const struct mt_document *
--- a/daemon/document_tables.c
+++ b/daemon/document_tables.c
@@ -43,7 +43,7 @@
   .version = tables_version,
   .format = tables_format,
   .offer = tables_offer,
-  .version_of = tables_version_of,
+  .member_version = tables_version_of,
 };
 
 const struct mt_document *
--- a/daemon/documents.c
+++ b/daemon/documents.c
@@ -71,7 +71,7 @@
 {
   struct search *search = ctx;
 
-  if (search->document->version_of (member) <= search->above || !mt_membership_is_alive (member)
+  if (search->document->member_version (member) <= search->above || !mt_membership_is_alive (member)
       || member->reach == MT_REACH_NO)
     return;
   if (search->found == 0 || search->found <= search->skip)
@@ -84,7 +84,7 @@
 {
   struct search *search = ctx;
 
-  if (search->document->version_of (member) > search->above && member->reach == MT_REACH_NO)
+  if (search->document->member_version (member) > search->above && member->reach == MT_REACH_NO)
     search->address = member->address;
 }
 
@@ -133,10 +133,10 @@
 }
 
 bool
-mt_documents_next (struct mt_documents *documents,
-                   struct mt_membership *membership,
-                   struct mt_document_fetch *out,
-                   int64_t *due_us)
+mt_documents_next_fetch (struct mt_documents *documents,
+                         struct mt_membership *membership,
+                         struct mt_document_fetch *out,
+                         int64_t *due_us)
 {
   for (unsigned i = 0; i < documents->n; i++)
     if (next_of (documents, &documents->slots[i], membership, out, due_us))
@@ -145,7 +145,7 @@
 }
 
 void
-mt_documents_fetched (struct mt_documents *documents, const struct mt_document_fetch *fetch)
+mt_documents_finish_fetch (struct mt_documents *documents, const struct mt_document_fetch *fetch)
 {
   struct slot *slot = &documents->slots[fetch->slot];
 
--- a/daemon/documents.h
+++ b/daemon/documents.h
@@ -18,14 +18,14 @@
   uint64_t (*version) (void *ctx);
   /* Told who is about to get it, before format is called; false: it does not get it. NULL: anybody
    * does. */
-  bool (*handing) (void *ctx, struct mt_str name);
+  bool (*before_send) (void *ctx, struct mt_str name);
   /* Its text, g_malloced, or NULL where there is none. */
   char *(*format) (void *ctx);
   /* Checks a text from a peer and takes it where it is newer. False with an error where it is
    * refused; one that isn't newer is no error. */
   bool (*offer) (void *ctx, struct mt_str text, GError **error);
   /* The version that a member has. */
-  uint64_t (*version_of) (const struct mt_member *member);
+  uint64_t (*member_version) (const struct mt_member *member);
 };
 
 /* The operators' tables; its ctx is the mt_view_holder. */
@@ -58,11 +58,12 @@
 uint64_t mt_documents_version (const struct mt_documents *documents, enum mt_peer_type type);
 
 /* True with something to fetch now. Otherwise *due_us is lowered to when to ask again. */
-bool mt_documents_next (struct mt_documents *documents,
-                        struct mt_membership *membership,
-                        struct mt_document_fetch *out,
-                        int64_t *due_us);
+bool mt_documents_next_fetch (struct mt_documents *documents,
+                              struct mt_membership *membership,
+                              struct mt_document_fetch *out,
+                              int64_t *due_us);
 /* The fetch ended, well or not. */
-void mt_documents_fetched (struct mt_documents *documents, const struct mt_document_fetch *fetch);
+void mt_documents_finish_fetch (struct mt_documents *documents,
+                                const struct mt_document_fetch *fetch);
 
 #endif
--- a/daemon/feed.c
+++ b/daemon/feed.c
@@ -288,8 +288,8 @@
   if (feed->store == NULL)
     {
       feed->client = mt_http_client_create (options->clock);
-      feed->platform
-          = mt_platform_create (feed->client, options->clock, options->platform, options->call_us);
+      feed->platform = mt_platform_create (feed->client, options->clock, options->platform,
+                                           options->call_timeout_us);
       feed->store = mt_platform_store (feed->platform);
     }
   g_mutex_init (&feed->lock);
--- a/daemon/feed.h
+++ b/daemon/feed.h
@@ -10,8 +10,8 @@
 
 struct mt_feed_options
 {
-  const char *platform; /* IP:PORT */
-  int64_t call_us;      /* bound on one call that isn't a watch */
+  const char *platform;    /* IP:PORT */
+  int64_t call_timeout_us; /* bound on one call that isn't a watch */
   const struct mt_clock *clock;
   struct mt_view_holder *views;
   const struct mt_store *store; /* used in place of the platform, for tests; outlives the thread */
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -178,7 +178,7 @@
     mt_slot_set_leaving (attempt->slot);
   if (result == MT_DISPATCH_REFUSED)
     mt_counters_add (attempt->counters, MT_COUNTER_MINION_REFUSALS, 1);
-  mt_slot_give_back (attempt->slot, result);
+  mt_slot_release (attempt->slot, result);
   g_free (attempt);
 }
 
@@ -218,7 +218,7 @@
     .id = plan->id,
     .deadline_us = plan->deadline_us,
     .max_answer = front->options.answer_bytes,
-    .connections = mt_slot_connections (slot),
+    .connections = mt_slot_max_connections (slot),
   };
 
   attempt->slot = slot;
@@ -273,8 +273,8 @@
                                     .deadline_us = plan->deadline_us,
                                     .queue_limit = plan->queue,
                                     .avoid = tries->avoid.data,
-                                    .again = tries->again };
-  enum mt_slot_result taken = mt_pools_take (front->options.pools, &wanted, slot);
+                                    .is_retry = tries->again };
+  enum mt_slot_result taken = mt_pools_acquire_slot (front->options.pools, &wanted, slot);
 
   if (taken != MT_SLOT_GRANTED)
     {
@@ -284,7 +284,7 @@
     }
   if (!mt_slot_has_waited (*slot) || !mt_http_request_is_gone (request))
     return TRY_WHOLE;
-  mt_slot_give_back (*slot, MT_DISPATCH_UNUSED);
+  mt_slot_release (*slot, MT_DISPATCH_UNUSED);
   mt_counters_add (front->options.counters, MT_COUNTER_CALLERS_GONE, 1);
   return TRY_GONE;
 }
@@ -424,7 +424,7 @@
                            0 });
       return false;
     }
-  result = mt_claims_take (front->options.claims, path, key, plan->deadline_us, claim);
+  result = mt_claims_acquire (front->options.claims, path, key, plan->deadline_us, claim);
   if (result == MT_CLAIM_GRANTED)
     return true;
   if (result == MT_CLAIM_UNAVAILABLE)
@@ -478,7 +478,7 @@
   if (plan.id.data == NULL || (routed && plan.pool.data == NULL))
     {
       mt_counters_add (front->options.counters, MT_COUNTER_NOT_RUN, 1);
-      mt_answer_without_memory (request, true);
+      mt_answer_out_of_memory (request, true);
       return;
     }
   if (!routed)
--- a/daemon/heartbeat.c
+++ b/daemon/heartbeat.c
@@ -57,8 +57,8 @@
   g_array_set_clear_func (collected.demands, clear_demand);
   mt_pools_each (heartbeat->pools, &visitor);
   /* Tasks on an instance that drains are in flight too: else it would be rebooted under them. */
-  mt_jobs_part_each_held (heartbeat->jobs, collect_minion, &collected);
-  mt_proxied_each_held (heartbeat->proxied, collect_minion, &collected);
+  mt_jobs_part_each_draining (heartbeat->jobs, collect_minion, &collected);
+  mt_proxied_each_draining (heartbeat->proxied, collect_minion, &collected);
   mt_peers_set_loads (peers, (struct mt_member_load *) collected.loads->data, collected.loads->len,
                       (struct mt_member_demand *) collected.demands->data, collected.demands->len);
   g_array_unref (collected.loads);
@@ -72,7 +72,8 @@
   struct mt_shares *old = heartbeat->shares;
 
   heartbeat->shares = mt_shares_create (heartbeat->settings->name.data);
-  mt_peers_each (peers, heartbeat->settings->zone.data, mt_shares_visit, heartbeat->shares);
+  mt_peers_each_alive (peers, heartbeat->settings->zone.data, mt_shares_add_member,
+                       heartbeat->shares);
   mt_pools_set_shares (heartbeat->pools, heartbeat->shares);
   mt_shares_destroy (old);
 }
@@ -81,7 +82,7 @@
   .name = "pools",
   .description = "reports the pools' loads and hands them their share of the slots",
   .report = report_loads,
-  .after = hand_shares,
+  .after_heartbeat = hand_shares,
 };
 
 const struct mt_peers_callbacks *
--- a/daemon/jobs_part.c
+++ b/daemon/jobs_part.c
@@ -101,9 +101,9 @@
 }
 
 void
-mt_jobs_part_each_held (struct mt_jobs_part *part,
-                        void (*visit) (void *ctx, const char *instance, unsigned tasks),
-                        void *ctx)
+mt_jobs_part_each_draining (struct mt_jobs_part *part,
+                            void (*visit) (void *ctx, const char *instance, unsigned tasks),
+                            void *ctx)
 {
   struct held held = { part, visit, ctx };
 
--- a/daemon/jobs_part.h
+++ b/daemon/jobs_part.h
@@ -27,9 +27,9 @@
 /* Calls visit for each instance that must not be moved or rebooted yet, because tasks run on its
  * worker: those that no longer serve. One that serves is left out, or its tasks would count against
  * the slots of requests. part may be NULL. */
-void mt_jobs_part_each_held (struct mt_jobs_part *part,
-                             void (*visit) (void *ctx, const char *instance, unsigned tasks),
-                             void *ctx);
+void mt_jobs_part_each_draining (struct mt_jobs_part *part,
+                                 void (*visit) (void *ctx, const char *instance, unsigned tasks),
+                                 void *ctx);
 /* NULL for a NULL part. */
 json_t *mt_jobs_part_dump (struct mt_jobs_part *part);
 
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -152,7 +152,7 @@
                   fetch->address, error->message);
   free (reply);
   g_mutex_lock (&peers->lock);
-  mt_documents_fetched (peers->documents, fetch);
+  mt_documents_finish_fetch (peers->documents, fetch);
   peers->kicked = true;
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
@@ -206,7 +206,7 @@
   const struct served *served = ctx;
   g_autofree char *text = NULL;
 
-  if (served->document->handing == NULL || served->document->handing (served->ctx, sender))
+  if (served->document->before_send == NULL || served->document->before_send (served->ctx, sender))
     text = served->document->format (served->ctx);
   *reply_len = text != NULL ? strlen (text) : 0;
   return strdup (text != NULL ? text : "");
@@ -253,7 +253,7 @@
 }
 
 void
-mt_peers_carry (struct mt_peers *peers, const struct mt_document *document, void *ctx)
+mt_peers_add_document (struct mt_peers *peers, const struct mt_document *document, void *ctx)
 {
   struct served *served = g_new0 (struct served, 1);
 
@@ -313,7 +313,7 @@
   if (stranger != NULL)
     push (peers, TASK_EXCHANGE, stranger);
   if (peers->callbacks != NULL)
-    peers->callbacks->after (peers->ctx, peers);
+    peers->callbacks->after_heartbeat (peers->ctx, peers);
 }
 
 /* Starts what fetches are due; *due_us is lowered to the next. The lock is held. */
@@ -322,7 +322,7 @@
 {
   struct mt_document_fetch next;
 
-  while (mt_documents_next (peers->documents, peers->membership, &next, due_us))
+  while (mt_documents_next_fetch (peers->documents, peers->membership, &next, due_us))
     {
       struct task *task = g_new0 (struct task, 1);
 
@@ -431,7 +431,7 @@
 }
 
 void
-mt_peers_kick (void *ctx)
+mt_peers_trigger_heartbeat (void *ctx)
 {
   struct mt_peers *peers = ctx;
 
@@ -498,10 +498,10 @@
 }
 
 void
-mt_peers_each (struct mt_peers *peers,
-               const char *zone,
-               void (*visit) (void *ctx, const struct mt_member *member),
-               void *ctx)
+mt_peers_each_alive (struct mt_peers *peers,
+                     const char *zone,
+                     void (*visit) (void *ctx, const struct mt_member *member),
+                     void *ctx)
 {
   struct filter filter = { zone, visit, ctx };
 
@@ -527,11 +527,11 @@
 }
 
 unsigned
-mt_peers_count_here (struct mt_peers *peers)
+mt_peers_count_in_zone (struct mt_peers *peers)
 {
   unsigned n = 0;
 
-  mt_peers_each (peers, peers->zone, count_visit, &n);
+  mt_peers_each_alive (peers, peers->zone, count_visit, &n);
   return n;
 }
 
--- a/daemon/peers.h
+++ b/daemon/peers.h
@@ -20,8 +20,8 @@
   const char *description;
   /* Calls mt_peers_set_loads with what this daemon carries. */
   void (*report) (void *ctx, struct mt_peers *peers);
-  /* The membership may have changed: mt_peers_each shows it. */
-  void (*after) (void *ctx, struct mt_peers *peers);
+  /* The membership may have changed: mt_peers_each_alive shows it. */
+  void (*after_heartbeat) (void *ctx, struct mt_peers *peers);
 };
 
 struct mt_peers_options
@@ -35,7 +35,7 @@
 
 struct mt_peers *mt_peers_create (const struct mt_peers_options *options);
 /* Adds a document that is spread; before mt_peers_start. */
-void mt_peers_carry (struct mt_peers *peers, const struct mt_document *document, void *ctx);
+void mt_peers_add_document (struct mt_peers *peers, const struct mt_document *document, void *ctx);
 /* Starts the heartbeats. The server may be started then. */
 void mt_peers_start (struct mt_peers *peers);
 /* Tells all that this daemon takes no new work. Heartbeats go on. */
@@ -45,7 +45,7 @@
 
 /* A version changed: it is told at once instead of with the next heartbeat. ctx is the peers, so
  * that it can be a view listener. */
-void mt_peers_kick (void *ctx);
+void mt_peers_trigger_heartbeat (void *ctx);
 void mt_peers_set_loads (struct mt_peers *peers,
                          const struct mt_member_load *loads,
                          size_t n_loads,
@@ -60,16 +60,16 @@
 
 /* Calls visit for each member that is alive now, this daemon included, under the membership's lock:
  * visit must not block or keep the pointer. zone NULL: all data centres. */
-void mt_peers_each (struct mt_peers *peers,
-                    const char *zone,
-                    void (*visit) (void *ctx, const struct mt_member *member),
-                    void *ctx);
+void mt_peers_each_alive (struct mt_peers *peers,
+                          const char *zone,
+                          void (*visit) (void *ctx, const struct mt_member *member),
+                          void *ctx);
 /* The same for each member that is known, the silent ones included. */
 void mt_peers_each_known (struct mt_peers *peers,
                           void (*visit) (void *ctx, const struct mt_member *member),
                           void *ctx);
 /* Of live members in this daemon's data centre, itself included; at least 1. */
-unsigned mt_peers_count_here (struct mt_peers *peers);
+unsigned mt_peers_count_in_zone (struct mt_peers *peers);
 /* Whether the member is known and was heard of within the suspicion time. */
 bool mt_peers_is_alive (struct mt_peers *peers, const char *name);
 /* Calls a member by name; errors as mt_peer_client_call, MT_ERROR_UNAVAILABLE for an unknown one.
--- a/daemon/pools.c
+++ b/daemon/pools.c
@@ -241,13 +241,15 @@
   slot->ticket.audience = request->audience;
   slot->ticket.deadline_us = request->deadline_us;
   slot->ticket.avoid = request->avoid;
-  slot->ticket.is_retry = request->again;
+  slot->ticket.is_retry = request->is_retry;
   slot->ticket.owner = slot;
   return slot;
 }
 
 enum mt_slot_result
-mt_pools_take (struct mt_pools *pools, const struct mt_slot_request *request, struct mt_slot **out)
+mt_pools_acquire_slot (struct mt_pools *pools,
+                       const struct mt_slot_request *request,
+                       struct mt_slot **out)
 {
   struct pool *pool = find_pool (pools, request->pool);
   struct mt_slot *slot;
@@ -298,7 +300,7 @@
 }
 
 unsigned
-mt_slot_connections (const struct mt_slot *slot)
+mt_slot_max_connections (const struct mt_slot *slot)
 {
   return slot->ticket.connections;
 }
@@ -318,7 +320,7 @@
 }
 
 void
-mt_slot_give_back (struct mt_slot *slot, enum mt_dispatch_result result)
+mt_slot_release (struct mt_slot *slot, enum mt_dispatch_result result)
 {
   struct pool *pool = slot->pool;
 
@@ -349,14 +351,14 @@
   gpointer value;
 
   g_rw_lock_writer_lock (&pools->lock);
-  pools->share = mt_shares_place (shares);
+  pools->share = mt_shares_own_share (shares);
   g_hash_table_iter_init (&iter, pools->by_name);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct pool *pool = value;
 
       g_mutex_lock (&pool->lock);
-      mt_dispatch_set_share (pool->dispatch, pools->share, mt_shares_others, shares);
+      mt_dispatch_set_share (pool->dispatch, pools->share, mt_shares_in_flight_elsewhere, shares);
       g_mutex_unlock (&pool->lock);
     }
   g_rw_lock_writer_unlock (&pools->lock);
--- a/daemon/pools.h
+++ b/daemon/pools.h
@@ -25,7 +25,7 @@
   int64_t deadline_us;
   unsigned queue_limit;
   const char *avoid;
-  bool again; /* a retry */
+  bool is_retry; /* a retry */
 };
 
 enum mt_slot_result
@@ -39,21 +39,22 @@
 };
 
 /* Waits for a slot in the pool, until the dispatch gives up at most. */
-enum mt_slot_result
-mt_pools_take (struct mt_pools *pools, const struct mt_slot_request *request, struct mt_slot **out);
+enum mt_slot_result mt_pools_acquire_slot (struct mt_pools *pools,
+                                           const struct mt_slot_request *request,
+                                           struct mt_slot **out);
 /* Valid until the slot is given back. */
 const char *mt_slot_minion (const struct mt_slot *slot);
 const char *mt_slot_address (const struct mt_slot *slot);
 /* Of the record by which the minion serves the pool. */
 uint64_t mt_slot_epoch (const struct mt_slot *slot);
 /* Most connections that this daemon may hold to the minion. */
-unsigned mt_slot_connections (const struct mt_slot *slot);
+unsigned mt_slot_max_connections (const struct mt_slot *slot);
 /* It was not granted at once. */
 bool mt_slot_has_waited (const struct mt_slot *slot);
 /* The minion itself said that it leaves. */
 void mt_slot_set_leaving (struct mt_slot *slot);
 /* Gives it back and frees it. */
-void mt_slot_give_back (struct mt_slot *slot, enum mt_dispatch_result result);
+void mt_slot_release (struct mt_slot *slot, enum mt_dispatch_result result);
 
 /* How long the pool's queue would take now; 0 for an unknown pool. */
 int64_t mt_pools_backlog_us (struct mt_pools *pools, const char *name);
--- a/daemon/proxied.c
+++ b/daemon/proxied.c
@@ -46,7 +46,7 @@
 }
 
 bool
-mt_proxied_note (struct mt_proxied *proxied, struct mt_str name)
+mt_proxied_add (struct mt_proxied *proxied, struct mt_str name)
 {
   bool noted;
 
@@ -114,9 +114,9 @@
 }
 
 void
-mt_proxied_each_held (struct mt_proxied *proxied,
-                      void (*visit) (void *ctx, const char *instance, unsigned in_flight),
-                      void *ctx)
+mt_proxied_each_draining (struct mt_proxied *proxied,
+                          void (*visit) (void *ctx, const char *instance, unsigned in_flight),
+                          void *ctx)
 {
   const struct mt_assign *assign;
 
--- a/daemon/shares.c
+++ b/daemon/shares.c
@@ -31,7 +31,7 @@
 }
 
 void
-mt_shares_visit (void *ctx, const struct mt_member *member)
+mt_shares_add_member (void *ctx, const struct mt_member *member)
 {
   struct mt_shares *shares = ctx;
   int order = strcmp (member->name, shares->self);
@@ -51,7 +51,7 @@
 }
 
 unsigned
-mt_shares_others (void *ctx, const char *minion)
+mt_shares_in_flight_elsewhere (void *ctx, const char *minion)
 {
   const struct mt_shares *shares = ctx;
 
@@ -59,7 +59,7 @@
 }
 
 struct mt_share
-mt_shares_place (const struct mt_shares *shares)
+mt_shares_own_share (const struct mt_shares *shares)
 {
   return shares->share;
 }
--- a/daemon/shares.h
+++ b/daemon/shares.h
@@ -11,11 +11,11 @@
 /* self: name of this daemon. */
 struct mt_shares *mt_shares_create (const char *self);
 void mt_shares_destroy (struct mt_shares *shares);
-/* Takes in one live member; for mt_peers_each, with the shares as ctx. */
-void mt_shares_visit (void *ctx, const struct mt_member *member);
+/* Takes in one live member; for mt_peers_each_alive, with the shares as ctx. */
+void mt_shares_add_member (void *ctx, const struct mt_member *member);
 
-struct mt_share mt_shares_place (const struct mt_shares *shares);
+struct mt_share mt_shares_own_share (const struct mt_shares *shares);
 /* In flight on the minion by the others; for mt_dispatch_set_share, with the shares as ctx. */
-unsigned mt_shares_others (void *ctx, const char *minion);
+unsigned mt_shares_in_flight_elsewhere (void *ctx, const char *minion);
 
 #endif
--- a/daemon/view.c
+++ b/daemon/view.c
@@ -51,14 +51,14 @@
 }
 
 void
-mt_view_listen (struct mt_view_holder *holder, mt_view_listener listener, void *ctx)
+mt_view_add_listener (struct mt_view_holder *holder, mt_view_listener listener, void *ctx)
 {
   g_assert (holder->n_listeners < MAX_LISTENERS);
   holder->listeners[holder->n_listeners++] = (struct listener){ listener, ctx };
 }
 
 void
-mt_view_listen_after (struct mt_view_holder *holder, mt_view_listener listener, void *ctx)
+mt_view_add_after_listener (struct mt_view_holder *holder, mt_view_listener listener, void *ctx)
 {
   g_assert (holder->n_after < MAX_LISTENERS);
   holder->after[holder->n_after++] = (struct listener){ listener, ctx };
--- a/daemon/view.h
+++ b/daemon/view.h
@@ -18,9 +18,10 @@
 /* No reader may be left. */
 void mt_view_holder_destroy (struct mt_view_holder *holder);
 /* Before threads start. A listener takes the change: it is in force once all have. */
-void mt_view_listen (struct mt_view_holder *holder, mt_view_listener listener, void *ctx);
+void mt_view_add_listener (struct mt_view_holder *holder, mt_view_listener listener, void *ctx);
 /* Told once the change is in force. */
-void mt_view_listen_after (struct mt_view_holder *holder, mt_view_listener listener, void *ctx);
+void
+mt_view_add_after_listener (struct mt_view_holder *holder, mt_view_listener listener, void *ctx);
 
 /* Takes the tables over. False, and frees them, where they are not newer than those in force: an
  * accepted version never reverts, whatever a stale read or a late peer says. */
--- a/tests/control/test_proxied.c
+++ b/tests/control/test_proxied.c
@@ -63,7 +63,7 @@
 held (struct fixture *f)
 {
   f->held = 0;
-  mt_proxied_each_held (f->proxied, count_held, f);
+  mt_proxied_each_draining (f->proxied, count_held, f);
   return f->held;
 }
 
@@ -79,7 +79,7 @@
 
   assert_int_equal (held (f), 0);
   fake_store_set_down (f->fake, true);
-  assert_true (mt_proxied_note (f->proxied, MT_STR ("cut-off")));
+  assert_true (mt_proxied_add (f->proxied, MT_STR ("cut-off")));
   mt_proxied_register (f->proxied, store);
   assert_int_equal (held (f), 1);
   fake_store_set_down (f->fake, false);
@@ -96,7 +96,7 @@
   struct fixture *f = *state;
   const struct mt_store *store = fake_store_store (f->fake);
 
-  assert_true (mt_proxied_note (f->proxied, MT_STR ("cut-off")));
+  assert_true (mt_proxied_add (f->proxied, MT_STR ("cut-off")));
   fake_store_fault_next (f->fake, FAKE_FAULT_DROP, 1, true);
   mt_proxied_register (f->proxied, store);
   assert_int_equal (held (f), 1);
@@ -112,7 +112,7 @@
 
   fake_store_force (f->fake, MT_HOLDERS_PREFIX "west/known/", "{}");
   writes = fake_store_writes (f->fake);
-  assert_true (mt_proxied_note (f->proxied, MT_STR ("known")));
+  assert_true (mt_proxied_add (f->proxied, MT_STR ("known")));
   mt_proxied_register (f->proxied, fake_store_store (f->fake));
   assert_int_equal (mt_proxied_count (f->proxied), 0);
   assert_true (fake_store_writes (f->fake) == writes);
@@ -125,17 +125,17 @@
 {
   struct fixture *f = *state;
 
-  assert_false (mt_proxied_note (f->proxied, MT_STR ("")));
-  assert_false (mt_proxied_note (f->proxied, MT_STR ("../tables")));
-  assert_false (mt_proxied_note (f->proxied, MT_STR ("a?cas=0")));
+  assert_false (mt_proxied_add (f->proxied, MT_STR ("")));
+  assert_false (mt_proxied_add (f->proxied, MT_STR ("../tables")));
+  assert_false (mt_proxied_add (f->proxied, MT_STR ("a?cas=0")));
   for (unsigned i = 0; i < 300; i++)
     {
       g_autofree char *name = g_strdup_printf ("d%u", i);
 
-      mt_proxied_note (f->proxied, mt_str_from (name));
+      mt_proxied_add (f->proxied, mt_str_from (name));
     }
   assert_int_equal (mt_proxied_count (f->proxied), 256);
-  assert_false (mt_proxied_note (f->proxied, MT_STR ("one-more")));
+  assert_false (mt_proxied_add (f->proxied, MT_STR ("one-more")));
 }
 
 int
--- a/tests/path/test_front.c
+++ b/tests/path/test_front.c
@@ -87,7 +87,7 @@
     f->minions[i] = scripted_create ();
   f->views = mt_view_holder_create (clock);
   f->pools = mt_pools_create (clock, f->views, "west");
-  mt_view_listen (f->views, mt_pools_refresh, f->pools);
+  mt_view_add_listener (f->views, mt_pools_refresh, f->pools);
   f->client = mt_http_client_create (clock);
   f->exchanges = mt_http_exchanges_create (f->client, clock, 8, 100 * 1000);
   f->arena = mt_arena_create (0);
