--- a/fleet/metrics.c
+++ b/fleet/metrics.c
@@ -12,33 +12,33 @@
 static const struct metric_info counters[MT_COUNTERS] = {
   [MT_COUNT_ACCEPTED] = { "jobs_accepted_total", "Jobs stored and acknowledged." },
   [MT_COUNT_REFUSED] = { "jobs_refused_total", "Jobs refused; they never run." },
-  [MT_COUNT_OUTCOME_UNKNOWN] = { "jobs_unsettled_total", "Submissions whose outcome is unknown." },
-  [MT_COUNT_CANCELS] = { "cancels_total", "Cancellations stored." },
-  [MT_COUNT_QUERIES] = { "questions_total", "Queries about jobs and queues." },
+  [MT_COUNT_OUTCOME_UNKNOWN] = { "jobs_unsettled_total", "Submissions without a known outcome." },
+  [MT_COUNT_CANCELS] = { "cancels_total", "Cancellings stored." },
+  [MT_COUNT_QUERIES] = { "questions_total", "Questions about jobs and queues." },
   [MT_COUNT_QUERIES_LEADER]
-  = { "questions_leader_total", "Queries answered by the pool's leader." },
-  [MT_COUNT_QUERIES_STORE] = { "questions_store_total", "Queries that needed the store." },
+  = { "questions_leader_total", "Questions answered by the pool's leader." },
+  [MT_COUNT_QUERIES_STORE] = { "questions_store_total", "Questions that needed the store." },
   [MT_COUNT_QUERIES_UNANSWERED]
-  = { "questions_unanswered_total", "Queries without an answer in time." },
-  [MT_COUNT_UNAUTHORIZED] = { "calls_unauthorized_total", "Calls without a valid key." },
+  = { "questions_unanswered_total", "Questions without an answer in time." },
+  [MT_COUNT_UNAUTHORIZED] = { "calls_unauthorized_total", "Calls without a key that holds." },
   [MT_COUNT_LEADERSHIPS_LOST] = { "duties_lost_total", "Leaderships lost." },
 };
 
 static const struct metric_info latencies[MT_LATENCIES] = {
-  [MT_LATENCY_SUBMIT] = { "submit_milliseconds", "Time from a complete submission to its answer." },
-  [MT_LATENCY_QUERY] = { "question_milliseconds", "Time from a complete query to its answer." },
+  [MT_LATENCY_SUBMIT] = { "submit_milliseconds", "From a whole submission to its answer." },
+  [MT_LATENCY_QUERY] = { "question_milliseconds", "From a whole question to its answer." },
 };
 
 static const struct metric_info gauges[MT_GAUGES] = {
   [MT_GAUGE_CONFIG] = { "config_version", "Version of the configuration in force." },
-  [MT_GAUGE_LEADERSHIPS] = { "leaderships", "Leaderships of pools that this daemon holds." },
-  [MT_GAUGE_STORE_CALLS] = { "store_calls", "Calls to the store so far." },
+  [MT_GAUGE_LEADERSHIPS] = { "leaderships", "Leaderships that this daemon has." },
+  [MT_GAUGE_STORE_CALLS] = { "store_calls", "Calls on the store so far." },
   [MT_GAUGE_CONNECTIONS_OPENED] = { "connections_opened", "Outgoing connections so far." },
-  [MT_GAUGE_JOBS] = { "jobs_open", "Unfinished jobs in the pools that this daemon leads." },
+  [MT_GAUGE_JOBS] = { "jobs_open", "Jobs not ended in the pools led here." },
   [MT_GAUGE_TASKS_WAITING] = { "tasks_waiting", "Tasks that could start now." },
   [MT_GAUGE_TASKS_RUNNING] = { "tasks_running", "Tasks on workers." },
-  [MT_GAUGE_WORKERS] = { "workers", "Workers of the pools that this daemon leads." },
-  [MT_GAUGE_WORKERS_SILENT] = { "workers_silent", "Workers of these pools that do not answer." },
+  [MT_GAUGE_WORKERS] = { "workers", "Workers of the pools led here." },
+  [MT_GAUGE_WORKERS_SILENT] = { "workers_silent", "Of these, those that don't answer." },
 };
 
 /* Upper bounds of the buckets in ms; longer requests go into the +Inf bucket. */
