--- a/daemon/answer.h
+++ b/daemon/answer.h
@@ -1,27 +1,29 @@
-/* Answers of the daemon's own, and the headers that are its own. Any thread may call; the memory is
- * the request's. */
+/* Answers that the daemon itself gives to callers, and the headers reserved for it. Any thread may
+ * call; memory comes from the request's arena. */
 #ifndef MT_ANSWER_H
 #define MT_ANSWER_H
 
 #include "http_server.h"
 
-/* As in docs/callers.md. */
+/* An answer with an outcome, as documented in docs/callers.md. */
 struct mt_answer_typed
 {
   int status;
   const char *outcome; /* static */
   const char *reason;
-  unsigned retry_after_s; /* 0: coming back does not help */
+  unsigned retry_after_s; /* 0: a retry does not help */
 };
 
-/* id: of the request, in its arena. */
+/* Sets the request's answer. id is the request's id, allocated in its arena. */
 void mt_answer_typed (struct mt_http_request *request,
                       struct mt_str id,
                       const struct mt_answer_typed *typed);
-/* The request's memory is used up: the caller still gets an answer with a type. */
+/* Sets the answer of a request whose memory is used up, without allocating. not_run: the request
+ * did not run; otherwise its outcome is unknown. */
 void mt_answer_out_of_memory (struct mt_http_request *request, bool not_run);
 
-/* A header by which the daemon speaks to callers and minions; it is not passed on for others. */
+/* Whether the header is reserved for what the daemon itself sends to callers and minions. Such
+ * headers are not forwarded. */
 bool mt_answer_is_own_header (struct mt_str name);
 void mt_answer_remove_own_headers (struct mt_http_answer *answer);
 
--- a/daemon/claim_owner.c
+++ b/daemon/claim_owner.c
@@ -7,27 +7,27 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define REPLY_FIELDS 2
-#define END_CALL_US  (1 * MT_SECOND)
+#define REPLY_FIELDS         2
+#define SEND_ENDS_TIMEOUT_US (1 * MT_SECOND)
 
 struct election
 {
   unsigned shard;
-  uint64_t best;
+  uint64_t best_weight;
   char *name;
 };
 
 static void
-weigh (void *ctx, const struct mt_member *member)
+visit_candidate (void *ctx, const struct mt_member *member)
 {
   struct election *election = ctx;
   uint64_t weight = XXH3_64bits_withSeed (member->name, strlen (member->name), election->shard + 1);
 
-  if (member->leaving || (election->name != NULL && weight <= election->best))
+  if (member->leaving || (election->name != NULL && weight <= election->best_weight))
     return;
   g_free (election->name);
   election->name = g_strdup (member->name);
-  election->best = weight;
+  election->best_weight = weight;
 }
 
 char *
@@ -37,14 +37,14 @@
 
   if (peers == NULL)
     return NULL;
-  mt_peers_each_alive (peers, NULL, weigh, &election);
+  mt_peers_each_alive (peers, NULL, visit_candidate, &election);
   if (g_strcmp0 (election.name, self) == 0)
     g_clear_pointer (&election.name, g_free);
   return election.name;
 }
 
 static bool
-read_reply (struct mt_str bytes, struct mt_once_request *ask)
+read_reply (struct mt_str bytes, struct mt_once_request *request)
 {
   msgpack_unpacked unpacked;
   const msgpack_object *fields;
@@ -59,8 +59,8 @@
        && mt_pack_get_u64 (&fields[1], UINT16_MAX, &status) && result != MT_ONCE_PENDING;
   if (ok)
     {
-      ask->result = (enum mt_once_result) result;
-      ask->status = (int) status;
+      request->result = (enum mt_once_result) result;
+      request->status = (int) status;
     }
   msgpack_unpacked_destroy (&unpacked);
   return ok;
@@ -86,7 +86,7 @@
             const char *owner,
             const struct mt_batch *batch,
             int64_t deadline_us,
-            struct mt_once_request *ask)
+            struct mt_once_request *request)
 {
   g_autoptr (GError) error = NULL;
   size_t len;
@@ -99,7 +99,7 @@
                       &reply, &reply_len, &error))
     return g_error_matches (error, MT_ERROR, MT_ERROR_UNAVAILABLE) ? MT_CLAIM_SEND_FAILED
                                                                    : MT_CLAIM_SEND_UNKNOWN;
-  ok = read_reply ((struct mt_str){ reply, reply_len }, ask);
+  ok = read_reply ((struct mt_str){ reply, reply_len }, request);
   free (reply);
   return ok ? MT_CLAIM_SEND_ANSWERED : MT_CLAIM_SEND_UNKNOWN;
 }
@@ -108,21 +108,21 @@
 mt_claim_owner_request (struct mt_peers *peers,
                         const char *owner,
                         const struct mt_clock *clock,
-                        struct mt_once_request *ask)
+                        struct mt_once_request *request)
 {
   struct mt_record record = { .kind = MT_RECORD_CLAIM,
-                              .extra = ask->holder_timeout_ms,
-                              .key = { ask->key[0], ask->key[1] } };
+                              .extra = request->holder_timeout_ms,
+                              .key = { request->key[0], request->key[1] } };
   int64_t now = mt_clock_now (clock);
-  int64_t left_us = MAX (0, ask->claim_deadline_us - now) * 2 / 3;
+  int64_t timeout_us = MAX (0, request->claim_deadline_us - now) * 2 / 3;
   struct mt_batch batch;
   enum mt_claim_send_result sent;
 
-  memcpy (record.attempt, ask->attempt, sizeof record.attempt);
+  memcpy (record.attempt, request->attempt, sizeof record.attempt);
   mt_batch_init (&batch);
-  batch.wall_ms = left_us / MT_MS * 3 / 4;
+  batch.wall_ms = timeout_us / MT_MS * 3 / 4;
   g_array_append_val (batch.records, record);
-  sent = send_batch (peers, owner, &batch, now + left_us, ask);
+  sent = send_batch (peers, owner, &batch, now + timeout_us, request);
   mt_batch_clear (&batch);
   return sent;
 }
@@ -133,13 +133,13 @@
                           const struct mt_clock *clock,
                           const GArray *ends)
 {
-  struct mt_once_request ask = { 0 };
+  struct mt_once_request request = { 0 };
   struct mt_batch batch;
   enum mt_claim_send_result sent;
 
   mt_batch_init (&batch);
   g_array_append_vals (batch.records, ends->data, ends->len);
-  sent = send_batch (peers, owner, &batch, mt_clock_now (clock) + END_CALL_US, &ask);
+  sent = send_batch (peers, owner, &batch, mt_clock_now (clock) + SEND_ENDS_TIMEOUT_US, &request);
   mt_batch_clear (&batch);
-  return sent == MT_CLAIM_SEND_ANSWERED && ask.result == MT_ONCE_GRANTED;
+  return sent == MT_CLAIM_SEND_ANSWERED && request.result == MT_ONCE_GRANTED;
 }
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -8,10 +8,10 @@
 
 #include <string.h>
 
-#define WATCH_US     (5 * MT_SECOND)
-#define RETRY_US     (1 * MT_SECOND)
-#define TICK_US      (1 * MT_SECOND)
-#define REBOOT_BYTES (64UL * 1024)
+#define WATCH_TIMEOUT_US        (5 * MT_SECOND)
+#define RETRY_DELAY_US          (1 * MT_SECOND)
+#define TICK_INTERVAL_US        (1 * MT_SECOND)
+#define MAX_REBOOT_ANSWER_BYTES (64UL * 1024)
 
 struct mt_control
 {
@@ -19,34 +19,35 @@
   struct mt_http_client *client;
   struct mt_platform *platform;
   const struct mt_store *store;
-  /* A kept connection keeps the timeout of the call that opened it: a watch on one that an ordinary
-   * call opened would be cut short, and look like a platform that is away. */
+  /* A client for watches alone. A kept connection keeps the timeout of the call that opened it: a
+   * watch on a connection that an ordinary call opened would end early, and look like an
+   * unreachable platform. */
   struct mt_http_client *watch_client;
   struct mt_platform *watch_platform;
-  const struct mt_store *watched;
+  const struct mt_store *watch_store;
   char *key; /* of the assignment document */
   char *holder_key;
   gint refs; /* atomic: the owner's and the watcher's */
   GThread *planner;
 
-  GMutex offering; /* held while the watcher touches the views; taken before lock */
-  GMutex lock;     /* guards all below */
+  GMutex offer_lock; /* held while the watcher accesses the views; acquired before lock */
+  GMutex lock;       /* guards all below */
   GCond changed;
-  bool stopping; /* the watcher touches the views no more; set under both locks */
+  bool stopping; /* the watcher no longer accesses the views; set under both locks */
   bool woken;
   bool registered;
   bool reachable;
   uint64_t index;       /* of the document in the platform's store */
-  int64_t confirmed_us; /* when it was last read there; 0: never */
+  int64_t confirmed_us; /* when the document was last read there; 0: never */
   bool planning;
-  GPtrArray *reports; /* of the last step */
+  GPtrArray *reports; /* of the last planner step */
   unsigned moves;
   unsigned reboots;
 
-  /* The planner thread's own. */
+  /* Accessed by the planner thread only. */
   struct mt_lease *lease; /* of the planner */
   struct mt_capacity *capacity;
-  GHashTable *refused; /* minions that said they leave -> epoch of their record then */
+  GHashTable *leaving_epochs; /* minion that reported leaving -> epoch of its record then */
 };
 
 static void
@@ -59,9 +60,9 @@
   mt_http_client_destroy (control->client);
   mt_http_client_destroy (control->watch_client);
   mt_capacity_destroy (control->capacity);
-  g_hash_table_destroy (control->refused);
+  g_hash_table_destroy (control->leaving_epochs);
   g_ptr_array_free (control->reports, TRUE);
-  g_mutex_clear (&control->offering);
+  g_mutex_clear (&control->offer_lock);
   g_mutex_clear (&control->lock);
   g_cond_clear (&control->changed);
   g_free (control->key);
@@ -106,11 +107,12 @@
   return mt_clock_wall (control->options.clock) / MT_SECOND;
 }
 
-/* A planner waits for every daemon that may hold a document, and learns of them from these keys. So
- * none takes one before its own key is written: a planner that doesn't see the key wrote what it
- * waits for before this daemon reads. */
+/* Writes this daemon's holder key unless that is done; returns whether it is. A planner waits until
+ * every daemon that may hold a document confirms it, and finds these daemons by their holder keys.
+ * So a daemon reads no document before its key is written: a planner that does not see the key
+ * wrote the document that it waits for before this daemon reads. */
 static bool
-is_registered (struct mt_control *control)
+register_holder (struct mt_control *control)
 {
   enum mt_store_write_result put;
 
@@ -123,9 +125,9 @@
   return control->registered;
 }
 
-/* Takes a document over. */
+/* Parses a document and offers it to the views. */
 static void
-offer (struct mt_control *control, struct mt_str json)
+offer_document (struct mt_control *control, struct mt_str json)
 {
   g_autoptr (GError) error = NULL;
   struct mt_assign *assign = mt_assign_parse (json, &error);
@@ -135,16 +137,16 @@
       mt_log_event (MT_EVENT_ASSIGN_REFUSED, "why=%s", error->message);
       return;
     }
-  g_mutex_lock (&control->offering);
+  g_mutex_lock (&control->offer_lock);
   if (is_stopping (control))
     mt_assign_destroy (assign);
   else
     mt_view_offer_assign (control->options.views, assign);
-  g_mutex_unlock (&control->offering);
+  g_mutex_unlock (&control->offer_lock);
 }
 
 static void
-note_read (struct mt_control *control, bool ok, uint64_t index)
+record_read (struct mt_control *control, bool ok, uint64_t index)
 {
   g_mutex_lock (&control->lock);
   control->reachable = ok;
@@ -162,19 +164,19 @@
 watch_step (struct mt_control *control, uint64_t *index)
 {
   struct mt_store_value value = { 0 };
-  bool ok = is_registered (control)
-            && control->watched->ops->watch (control->watched->ctx, control->key, *index, WATCH_US,
-                                             &value, NULL);
+  bool ok = register_holder (control)
+            && control->watch_store->ops->watch (control->watch_store->ctx, control->key, *index,
+                                                 WATCH_TIMEOUT_US, &value, NULL);
 
   if (ok && value.found && value.index != *index)
-    offer (control, (struct mt_str){ value.data, value.len });
-  note_read (control, ok, value.index);
+    offer_document (control, (struct mt_str){ value.data, value.len });
+  record_read (control, ok, value.index);
   if (ok)
     *index = value.index;
-  /* There is no index to wait at before the first document, and the watch answers at once: without
-   * the pause each daemon of a fleet without tables would ask as fast as it can. */
+  /* Before the first document there is no index to wait at and the watch returns at once. Without
+   * this delay each daemon of a fleet without tables would poll in a busy loop. */
   if (!ok || !value.found)
-    wait_us (control, RETRY_US, false);
+    wait_us (control, RETRY_DELAY_US, false);
   mt_store_value_clear (&value);
 }
 
@@ -201,15 +203,15 @@
   control->planning = planning;
   g_ptr_array_set_size (control->reports, 0);
   g_mutex_unlock (&control->lock);
-  /* What another planner learnt of the demand isn't known here. */
+  /* The demand that another planner measured is not known here. */
   mt_capacity_destroy (control->capacity);
   control->capacity = planning ? mt_capacity_create (control->options.policy) : NULL;
 }
 
-/* The lease only keeps planners from working against each other. That one which was paused past its
- * lapse does no harm rests on the compare-and-swap. */
+/* The lease only keeps planners from working against each other. It is the compare-and-swap that
+ * keeps a planner which was paused until after its lease expired from doing harm. */
 static void
-keep_lease (struct mt_control *control)
+renew_lease (struct mt_control *control)
 {
   set_planning (control, mt_lease_step (control->lease));
 }
@@ -226,7 +228,7 @@
   return list;
 }
 
-/* The daemons that may hold a document; false where they can't be told. */
+/* Adds the daemons that may hold a document. Returns false if the store can't list them. */
 static bool
 add_registered (struct mt_control *control, struct mt_gather *gather)
 {
@@ -254,10 +256,11 @@
   return g_strdup_printf ("%s-%08x%08x", control->options.name, g_random_int (), g_random_int ());
 }
 
-/* A copy of the document in force, to decide from; an empty one before the first. index gets that
- * of the value to swap. NULL where the platform was not read. */
+/* Returns a copy of the document in force to be edited, an empty one before the first document;
+ * NULL if the last read of the platform failed. *index is the store's index for the
+ * compare-and-swap; *draining is set if any record drains. */
 static struct mt_assign *
-begin_next (struct mt_control *control, uint64_t *index, bool *draining)
+copy_document (struct mt_control *control, uint64_t *index, bool *draining)
 {
   g_autofree char *id = unique_id (control);
   struct mt_assign *empty = mt_assign_create ();
@@ -283,10 +286,10 @@
   return next;
 }
 
-/* A lost answer needs no care here: the watch tells what is stored, and the next step decides from
+/* A lost response needs no handling: the watch reads what is stored, and the next step starts from
  * that. */
 static bool
-write_next (struct mt_control *control, const struct mt_assign *next, uint64_t index)
+write_document (struct mt_control *control, const struct mt_assign *next, uint64_t index)
 {
   g_autofree char *text = mt_assign_format (next);
 
@@ -298,13 +301,13 @@
 static void
 order_reboot (struct mt_control *control, const struct mt_planner_reboot *reboot)
 {
-  struct mt_arena *arena = mt_arena_create (REBOOT_BYTES);
+  struct mt_arena *arena = mt_arena_create (MAX_REBOOT_ANSWER_BYTES);
   g_autofree char *path = g_strdup_printf ("/v1/instance/%s/reboot?epoch=%" G_GUINT64_FORMAT,
                                            reboot->instance, reboot->epoch);
   struct mt_http_call call = { .method = "PUT",
                                .path = path,
                                .deadline_us = now_us (control) + control->options.call_timeout_us,
-                               .max_answer = REBOOT_BYTES };
+                               .max_answer = MAX_REBOOT_ANSWER_BYTES };
   struct mt_http_answer answer;
 
   if (mt_http_client_call (control->client, control->options.platform, &call, arena, &answer, NULL)
@@ -321,7 +324,7 @@
 }
 
 static bool
-was_told (const GPtrArray *reports, const char *text)
+was_reported (const GPtrArray *reports, const char *text)
 {
   for (guint i = 0; i < reports->len; i++)
     if (strcmp (reports->pdata[i], text) == 0)
@@ -330,7 +333,7 @@
 }
 
 static void
-publish (struct mt_control *control, const struct mt_planner_result *result)
+publish_reports (struct mt_control *control, const struct mt_planner_result *result)
 {
   GPtrArray *reports = g_ptr_array_new_with_free_func (g_free);
 
@@ -338,7 +341,7 @@
     {
       const char *text = result->reports->pdata[i];
 
-      if (!was_told (control->reports, text))
+      if (!was_reported (control->reports, text))
         mt_log_event (MT_EVENT_PLANNER_REPORT, "what=%s", text);
       g_ptr_array_add (reports, g_strdup (text));
     }
@@ -348,12 +351,13 @@
   g_mutex_unlock (&control->lock);
 }
 
-/* Nothing may block while the view is read: the step does not. */
+/* Returns false if there are no tables. Nothing may block while the view is read; the planner step
+ * does not. */
 static bool
-decide (struct mt_control *control,
-        struct mt_planner_input *input,
-        struct mt_assign *next,
-        struct mt_planner_result *result)
+run_planner_step (struct mt_control *control,
+                  struct mt_planner_input *input,
+                  struct mt_assign *next,
+                  struct mt_planner_result *result)
 {
   input->tables = mt_view_begin (control->options.views);
   if (input->tables != NULL)
@@ -363,13 +367,13 @@
 }
 
 static void
-apply (struct mt_control *control,
-       const struct mt_assign *next,
-       uint64_t index,
-       const struct mt_planner_result *result)
+apply_result (struct mt_control *control,
+              const struct mt_assign *next,
+              uint64_t index,
+              const struct mt_planner_result *result)
 {
-  publish (control, result);
-  if (result->changed && !write_next (control, next, index))
+  publish_reports (control, result);
+  if (result->changed && !write_document (control, next, index))
     return;
   g_mutex_lock (&control->lock);
   control->moves += result->moves;
@@ -379,13 +383,15 @@
 }
 
 static void
-plan (struct mt_control *control, struct mt_gather *gather, const struct mt_instances *list)
+plan_and_write (struct mt_control *control,
+                struct mt_gather *gather,
+                const struct mt_instances *list)
 {
   struct mt_planner_result *result = mt_planner_result_create ();
   struct mt_planner_input input = { .zone = control->options.zone, .capacity = control->capacity };
   uint64_t index;
   bool draining;
-  struct mt_assign *next = begin_next (control, &index, &draining);
+  struct mt_assign *next = copy_document (control, &index, &draining);
 
   if (next != NULL && (!draining || add_registered (control, gather)))
     {
@@ -394,17 +400,17 @@
       input.members = mt_gather_members (gather, &input.n_members);
       input.instances = mt_instances_all (list, &input.n_instances);
       input.demands = mt_gather_demands (gather, &input.n_demands);
-      if (decide (control, &input, next, result))
-        apply (control, next, index, result);
+      if (run_planner_step (control, &input, next, result))
+        apply_result (control, next, index, result);
     }
   mt_assign_destroy (next);
   mt_planner_result_destroy (result);
 }
 
-/* Whether the minion of a serving record told this daemon that it leaves, and nobody wrote it down
- * yet. A record that serves again under a later epoch has come back since. */
+/* Whether the minion of a serving record reported to this daemon that it leaves, and the document
+ * does not show that yet. A minion whose record serves again under a later epoch is back since. */
 static bool
-is_refusing (struct mt_control *control, const struct mt_assign_record *record)
+is_newly_leaving (struct mt_control *control, const struct mt_assign_record *record)
 {
   struct mt_pools *pools = control->options.pools;
   gpointer epoch;
@@ -412,69 +418,69 @@
   if (record->state != MT_ASSIGN_SERVING
       || !mt_pools_is_leaving (pools, record->pool, record->instance))
     return false;
-  if (g_hash_table_lookup_extended (control->refused, record->instance, NULL, &epoch)
+  if (g_hash_table_lookup_extended (control->leaving_epochs, record->instance, NULL, &epoch)
       && record->epoch > *(guint64 *) epoch)
     {
       mt_pools_rejoin (pools, record->pool, record->instance);
-      g_hash_table_remove (control->refused, record->instance);
+      g_hash_table_remove (control->leaving_epochs, record->instance);
       return false;
     }
   return true;
 }
 
 static void
-remember_refusal (struct mt_control *control, const struct mt_assign_record *record)
+record_leaving (struct mt_control *control, const struct mt_assign_record *record)
 {
-  if (g_hash_table_contains (control->refused, record->instance))
+  if (g_hash_table_contains (control->leaving_epochs, record->instance))
     return;
   mt_log_event (MT_EVENT_MINION_LEAVES, "minion=%s pool=%s", record->instance, record->pool);
-  g_hash_table_insert (control->refused, g_strdup (record->instance),
+  g_hash_table_insert (control->leaving_epochs, g_strdup (record->instance),
                        g_memdup2 (&record->epoch, sizeof record->epoch));
 }
 
-/* Any daemon writes down what a minion told it, so that no other sends it work meanwhile; the write
- * is fenced like a planner's. */
+/* Marks the minions in the document that reported leaving to this daemon, so that no other daemon
+ * sends them work. Any daemon does this; the write is fenced like a planner's. */
 static void
-note_refusals (struct mt_control *control)
+write_leaving_minions (struct mt_control *control)
 {
   struct mt_instances *list = NULL;
   bool changed = false;
   bool draining;
   uint64_t index;
-  struct mt_assign *next = begin_next (control, &index, &draining);
+  struct mt_assign *next = copy_document (control, &index, &draining);
 
   for (size_t i = 0; next != NULL && i < next->n_records; i++)
     {
       struct mt_assign_record *record = &next->records[i];
       const struct mt_planner_instance *listed;
 
-      if (!is_refusing (control, record))
+      if (!is_newly_leaving (control, record))
         continue;
-      remember_refusal (control, record);
+      record_leaving (control, record);
       list = list != NULL ? list : read_instances (control);
       listed = mt_instances_find (list, record->instance);
       changed |= mt_assign_leave (next, record, MT_LEAVE_REFUSAL, listed != NULL ? listed->boot : 0,
                                   wall_s (control));
     }
   if (changed)
-    write_next (control, next, index);
+    write_document (control, next, index);
   mt_instances_destroy (list);
   mt_assign_destroy (next);
 }
 
 static void
-tick (struct mt_control *control)
+run_step (struct mt_control *control)
 {
   struct mt_gather *gather = mt_gather_create (&control->options);
 
-  note_refusals (control);
+  write_leaving_minions (control);
   mt_proxied_register (control->options.proxied, control->store);
-  keep_lease (control);
+  renew_lease (control);
   if (control->planning)
     {
       struct mt_instances *list = read_instances (control);
 
-      plan (control, gather, list);
+      plan_and_write (control, gather, list);
       mt_instances_destroy (list);
     }
   mt_gather_destroy (gather);
@@ -487,16 +493,16 @@
 
   while (!is_stopping (control))
     {
-      tick (control);
-      wait_us (control, TICK_US, true);
+      run_step (control);
+      wait_us (control, TICK_INTERVAL_US, true);
     }
   mt_lease_destroy (control->lease);
   return NULL;
 }
 
-/* New tables want a look at once. */
+/* View listener: wakes the planner at once when the view changes. */
 static void
-wake (void *ctx)
+wake_planner (void *ctx)
 {
   struct mt_control *control = ctx;
 
@@ -522,34 +528,34 @@
   control->watch_client = mt_http_client_create (options->clock);
   control->watch_platform = mt_platform_create (control->watch_client, options->clock,
                                                 options->platform, options->call_timeout_us);
-  control->watched = mt_platform_store (control->watch_platform);
+  control->watch_store = mt_platform_store (control->watch_platform);
   control->key = g_strdup_printf ("%s%s", MT_ASSIGN_PREFIX, options->zone);
   control->holder_key
       = g_strdup_printf ("%s%s/%s/", MT_HOLDERS_PREFIX, options->zone, options->name);
   control->reports = g_ptr_array_new_with_free_func (g_free);
-  control->refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_mutex_init (&control->offering);
+  control->leaving_epochs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_mutex_init (&control->offer_lock);
   g_mutex_init (&control->lock);
   g_cond_init (&control->changed);
   control->refs = 2;
-  mt_view_add_after_listener (options->views, wake, control);
+  mt_view_add_after_listener (options->views, wake_planner, control);
   g_thread_unref (g_thread_new ("assign", run_watcher, control));
   control->planner = g_thread_new ("planner", run_planner, control);
   return control;
 }
 
-/* The watcher isn't joined: its watch would hold the stop up for seconds. */
+/* The watcher thread is not joined: its watch would delay the stop by seconds. */
 void
 mt_control_destroy (struct mt_control *control)
 {
   if (control == NULL)
     return;
-  g_mutex_lock (&control->offering);
+  g_mutex_lock (&control->offer_lock);
   g_mutex_lock (&control->lock);
   control->stopping = true;
   g_cond_broadcast (&control->changed);
   g_mutex_unlock (&control->lock);
-  g_mutex_unlock (&control->offering);
+  g_mutex_unlock (&control->offer_lock);
   g_thread_join (control->planner);
   control_unref (control);
 }
--- a/daemon/control.h
+++ b/daemon/control.h
@@ -1,5 +1,6 @@
-/* This daemon's share of control: keeps the data centre's assignment document in force, and, while
- * it holds the planner's lease, plans. Two threads; serving never waits for either. */
+/* This daemon's part of the control plane: keeps the data centre's assignment document in force
+ * and, while it holds the planner's lease, plans. Runs two threads; serving never waits for either.
+ */
 #ifndef MT_CONTROL_H
 #define MT_CONTROL_H
 
@@ -17,7 +18,7 @@
   const char *name; /* of this daemon */
   const char *zone;
   const char *platform;    /* IP:PORT */
-  int64_t call_timeout_us; /* bound on one call of the platform */
+  int64_t call_timeout_us; /* of one call to the platform */
   struct mt_view_holder *views;
   struct mt_pools *pools;
   /* Calls visit for each live daemon of the data centre, this one included. */
@@ -27,18 +28,20 @@
                        void *visit_ctx);
   void *members;
   const struct mt_capacity_policy *policy;
-  struct mt_proxied *proxied; /* whose keys are written here */
+  struct mt_proxied *proxied; /* daemons whose keys this daemon writes */
 };
 
-/* Listens to the views and starts the threads: before any other thread offers to the views. */
+/* Adds a listener to the views and starts the threads. Call before any other thread offers to the
+ * views. */
 struct mt_control *mt_control_create (const struct mt_control_options *options);
-/* Gives the lease back and ends; what it uses may be freed then. */
+/* Releases the lease and stops planning. Afterwards the objects that the options name may be
+ * freed. */
 void mt_control_destroy (struct mt_control *control);
 /* Whether this daemon holds the planner's lease, as far as it knows. Any thread. */
 bool mt_control_is_planner (struct mt_control *control);
-/* Calls of the platform so far. */
+/* Number of calls to the platform so far. */
 uint64_t mt_control_calls (const struct mt_control *control);
-/* Adds what the operator wants to see. */
+/* Adds the state of control for operators. */
 void mt_control_dump (struct mt_control *control, json_t *out);
 
 #endif
--- a/daemon/counters.h
+++ b/daemon/counters.h
@@ -1,4 +1,4 @@
-/* The daemon's own counters: named, only growing, summed without a lock. */
+/* The daemon's own counters: named, monotonic, updated without a lock. */
 #ifndef MT_COUNTERS_H
 #define MT_COUNTERS_H
 
@@ -16,7 +16,7 @@
   MT_COUNTER_REFUSED_QUEUE,   /* queue full */
   MT_COUNTER_REFUSED_LATE,    /* could not be answered in time */
   MT_COUNTER_REFUSED_BUDGET,  /* retry budget spent */
-  MT_COUNTER_MINION_REFUSALS, /* a minion said that it did not run a request */
+  MT_COUNTER_MINION_REFUSALS, /* a minion answered that it did not run a request */
   MT_COUNTER_CALLERS_GONE,    /* hung up while waiting for a slot */
   MT_COUNTER_LAST,
 };
--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REQUEST_MEMORY_BASE (256 * 1024)
+#define REQUEST_MEMORY_BASE_BYTES (256 * 1024)
 
 struct mt_daemon
 {
@@ -28,7 +28,7 @@
   struct mt_claims *claims;
   struct mt_view_holder *views;
   struct mt_proxied *proxied;
-  struct mt_assign_source assign; /* that peers are served from */
+  struct mt_assign_source assign; /* source of the document for peers */
   struct mt_pools *pools;
   struct mt_peer_server *peer_server;
   struct mt_heartbeat *heartbeat;
@@ -36,7 +36,7 @@
   struct mt_registry *registry;
   struct mt_feed *feed;
   struct mt_control *control;
-  struct mt_jobs_part *jobs; /* NULL: places none */
+  struct mt_jobs_part *jobs; /* NULL: this daemon places no jobs */
   struct mt_front *front;
   struct mt_http_server *server;
 };
@@ -46,7 +46,7 @@
 {
   const struct mt_settings_limits *limits = &settings->limits;
 
-  return (size_t) limits->answer_bytes * 2 + limits->body_bytes + REQUEST_MEMORY_BASE;
+  return (size_t) limits->answer_bytes * 2 + limits->body_bytes + REQUEST_MEMORY_BASE_BYTES;
 }
 
 static char *
@@ -161,7 +161,7 @@
   daemon->front = mt_front_create (&front);
 }
 
-/* Others may call this daemon only once every part is there. */
+/* Other daemons may call this one only once all its parts exist. */
 static void
 start_peers (struct mt_daemon *daemon)
 {
@@ -215,7 +215,7 @@
       mt_http_server_stop (daemon->server, daemon->settings->limits.stop_linger_ms * MT_MS);
     }
   mt_http_server_destroy (daemon->server);
-  /* Exchanges that were given up on still hold slots of the pools. */
+  /* Abandoned exchanges still hold slots of the pools, so they are destroyed first. */
   mt_http_exchanges_destroy (daemon->exchanges);
   mt_registry_destroy (daemon->registry);
   mt_feed_destroy (daemon->feed);
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -1,4 +1,4 @@
-/* One daemon: owns every part and starts and stops them in order. */
+/* One daemon: owns all its parts, and starts and stops them in order. */
 #ifndef MT_DAEMON_H
 #define MT_DAEMON_H
 
@@ -8,14 +8,15 @@
 
 struct mt_daemon;
 
-/* settings outlive the daemon. */
+/* settings must outlive the daemon. Returns NULL with an error if it can't start. */
 struct mt_daemon *mt_daemon_create (const struct mt_settings *settings, GError **error);
-/* Graceful: takes no new connection, ends what is in flight, then frees everything. */
+/* Stops gracefully: accepts no new connection, completes the requests in flight, then frees
+ * everything. */
 void mt_daemon_destroy (struct mt_daemon *daemon);
 unsigned mt_daemon_port (const struct mt_daemon *daemon);
-/* For other daemons and medlartrackctl. */
+/* Port for other daemons and medlartrackctl. */
 unsigned mt_daemon_peer_port (const struct mt_daemon *daemon);
-/* The state as JSON text; g_free it. */
+/* Returns the state as JSON text, to be freed with g_free. */
 char *mt_daemon_dump (struct mt_daemon *daemon);
 
 #endif
--- a/daemon/document_assign.c
+++ b/daemon/document_assign.c
@@ -10,7 +10,7 @@
 }
 
 static bool
-assign_handing (void *ctx, struct mt_str name)
+assign_before_send (void *ctx, struct mt_str name)
 {
   const struct mt_assign_source *source = ctx;
 
@@ -43,9 +43,10 @@
   return true;
 }
 
-/* Only members of the own data centre report one: no other's document is ever fetched. */
+/* Only members of this daemon's data centre report a version, so the document of another data
+ * centre is never fetched. */
 static uint64_t
-assign_version_of (const struct mt_member *member)
+assign_member_version (const struct mt_member *member)
 {
   return member->assign_version;
 }
@@ -55,10 +56,10 @@
   .description = "which pool each instance of the data centre serves",
   .type = MT_PEER_ASSIGN,
   .version = assign_version,
-  .before_send = assign_handing,
+  .before_send = assign_before_send,
   .format = assign_format,
   .offer = assign_offer,
-  .member_version = assign_version_of,
+  .member_version = assign_member_version,
 };
 
 const struct mt_document *
--- a/daemon/document_tables.c
+++ b/daemon/document_tables.c
@@ -17,8 +17,8 @@
   return text;
 }
 
-/* What a peer sends is checked like what an operator does: a peer of another version, or a hostile
- * one, can't bring in force what `apply` would refuse. */
+/* Tables from a peer get the same checks as those from an operator: a peer of another version, or a
+ * hostile one, can't put tables in force that `apply` would refuse. */
 static bool
 tables_offer (void *ctx, struct mt_str text, GError **error)
 {
@@ -31,7 +31,7 @@
 }
 
 static uint64_t
-tables_version_of (const struct mt_member *member)
+tables_member_version (const struct mt_member *member)
 {
   return member->tables_version;
 }
@@ -43,7 +43,7 @@
   .version = tables_version,
   .format = tables_format,
   .offer = tables_offer,
-  .member_version = tables_version_of,
+  .member_version = tables_member_version,
 };
 
 const struct mt_document *
--- a/daemon/documents.c
+++ b/daemon/documents.c
@@ -4,16 +4,17 @@
 
 #define MAX_DOCUMENTS 4
 
-/* With the platform up, each daemon gets a new version from its own watch; a short wait spares the
- * fetch from a peer. With it down, each step of the spreading takes this long. */
-#define GRACE_US (300 * MT_MS)
-#define RETRY_US (500 * MT_MS)
+/* Delay before a newer version is fetched from a peer. While the platform is up, each daemon gets
+ * the version from its own watch, and the delay saves the fetch. While it is down, each hop of the
+ * replication takes this long. */
+#define FETCH_DELAY_US (300 * MT_MS)
+#define RETRY_DELAY_US (500 * MT_MS)
 
 struct slot
 {
   const struct mt_document *document;
   void *ctx;
-  int64_t due_us; /* when to fetch; 0 while this daemon has the newest */
+  int64_t due_us; /* when to fetch; 0 while no member has a newer version */
   bool fetching;
 };
 
@@ -22,13 +23,13 @@
   const struct mt_clock *clock;
   struct slot slots[MAX_DOCUMENTS];
   unsigned n;
-  unsigned turn; /* spreads the fetches over those who have the document */
+  unsigned turn; /* spreads the fetches over the members that have the document */
 };
 
 struct search
 {
   const struct mt_document *document;
-  uint64_t above;
+  uint64_t newer_than;
   unsigned skip;
   unsigned found;
   const char *address;
@@ -65,14 +66,15 @@
   return 0;
 }
 
-/* Members that can't be called are left out, unless only they have it: the cut may be over. */
+/* Picks among the live and reachable members. An unreachable one is picked only if no other has a
+ * newer version: the partition may be over. */
 static void
-consider (void *ctx, const struct mt_member *member)
+visit_reachable (void *ctx, const struct mt_member *member)
 {
   struct search *search = ctx;
 
-  if (search->document->member_version (member) <= search->above || !mt_membership_is_alive (member)
-      || member->reach == MT_REACH_NO)
+  if (search->document->member_version (member) <= search->newer_than
+      || !mt_membership_is_alive (member) || member->reach == MT_REACH_NO)
     return;
   if (search->found == 0 || search->found <= search->skip)
     search->address = member->address;
@@ -80,11 +82,12 @@
 }
 
 static void
-consider_unreached (void *ctx, const struct mt_member *member)
+visit_unreachable (void *ctx, const struct mt_member *member)
 {
   struct search *search = ctx;
 
-  if (search->document->member_version (member) > search->above && member->reach == MT_REACH_NO)
+  if (search->document->member_version (member) > search->newer_than
+      && member->reach == MT_REACH_NO)
     search->address = member->address;
 }
 
@@ -96,18 +99,18 @@
   struct search search = { slot->document, slot->document->version (slot->ctx) };
 
   search.skip = documents->turn++ % 4;
-  mt_membership_each (membership, consider, &search);
+  mt_membership_each (membership, visit_reachable, &search);
   if (search.address == NULL)
-    mt_membership_each (membership, consider_unreached, &search);
+    mt_membership_each (membership, visit_unreachable, &search);
   return search.address;
 }
 
 static bool
-next_of (struct mt_documents *documents,
-         struct slot *slot,
-         struct mt_membership *membership,
-         struct mt_document_fetch *out,
-         int64_t *due_us)
+next_fetch (struct mt_documents *documents,
+            struct slot *slot,
+            struct mt_membership *membership,
+            struct mt_document_fetch *out,
+            int64_t *due_us)
 {
   int64_t now = mt_clock_now (documents->clock);
   const char *address = find_holder (documents, slot, membership);
@@ -118,7 +121,7 @@
       return false;
     }
   if (slot->due_us == 0)
-    slot->due_us = now + GRACE_US;
+    slot->due_us = now + FETCH_DELAY_US;
   if (slot->fetching)
     return false;
   if (now < slot->due_us)
@@ -139,7 +142,7 @@
                          int64_t *due_us)
 {
   for (unsigned i = 0; i < documents->n; i++)
-    if (next_of (documents, &documents->slots[i], membership, out, due_us))
+    if (next_fetch (documents, &documents->slots[i], membership, out, due_us))
       return true;
   return false;
 }
@@ -150,5 +153,5 @@
   struct slot *slot = &documents->slots[fetch->slot];
 
   slot->fetching = false;
-  slot->due_us = mt_clock_now (documents->clock) + RETRY_US;
+  slot->due_us = mt_clock_now (documents->clock) + RETRY_DELAY_US;
 }
--- a/daemon/documents.h
+++ b/daemon/documents.h
@@ -1,6 +1,6 @@
-/* Documents that daemons spread among themselves by version: the tables, the assignment. A
- * heartbeat shows who has a newer one; it is fetched from there. Not thread-safe: the peers hold a
- * lock around every call but the document's own callbacks. */
+/* Versioned documents that daemons replicate among themselves: the tables and the assignment.
+ * Heartbeats show which member has a newer version, and it is fetched from that member. Not
+ * thread-safe: the peers hold a lock around every call but the document's own callbacks. */
 #ifndef MT_DOCUMENTS_H
 #define MT_DOCUMENTS_H
 
@@ -8,23 +8,23 @@
 #include "peer.h"
 #include "proxied.h"
 
-/* Calls may come from any thread. */
+/* The callbacks may be called from any thread. */
 struct mt_document
 {
   const char *name;
   const char *description;
-  enum mt_peer_type type; /* of the frames that ask for it */
-  /* In force here; 0 for none. */
+  enum mt_peer_type type; /* of the frames that request it */
+  /* Returns the version in force here; 0: none. */
   uint64_t (*version) (void *ctx);
-  /* Told who is about to get it, before format is called; false: it does not get it. NULL: anybody
-   * does. */
+  /* Called before format, with the name of the daemon that requests the document. Returns false if
+   * that daemon must not get it. NULL: any daemon may. */
   bool (*before_send) (void *ctx, struct mt_str name);
-  /* Its text, g_malloced, or NULL where there is none. */
+  /* Returns the document's text, to be freed with g_free; NULL if there is none. */
   char *(*format) (void *ctx);
-  /* Checks a text from a peer and takes it where it is newer. False with an error where it is
-   * refused; one that isn't newer is no error. */
+  /* Checks a text from a peer and puts it in force if it is newer. Returns false with an error if
+   * the text is refused; one that isn't newer is no error. */
   bool (*offer) (void *ctx, struct mt_str text, GError **error);
-  /* The version that a member has. */
+  /* Returns the version that a member reported. */
   uint64_t (*member_version) (const struct mt_member *member);
 };
 
@@ -41,7 +41,7 @@
 
 struct mt_documents;
 
-/* A document to fetch and from where. */
+/* A document to fetch, and the peer to fetch it from. */
 struct mt_document_fetch
 {
   const struct mt_document *document;
@@ -54,15 +54,16 @@
 void mt_documents_destroy (struct mt_documents *documents);
 void
 mt_documents_add (struct mt_documents *documents, const struct mt_document *document, void *ctx);
-/* Versions in force here, for the heartbeat; 0 for a document that isn't carried. */
+/* Returns the version in force here, for the heartbeat; 0 for a document that was not added. */
 uint64_t mt_documents_version (const struct mt_documents *documents, enum mt_peer_type type);
 
-/* True with something to fetch now. Otherwise *due_us is lowered to when to ask again. */
+/* Returns true with *out set if there is a document to fetch now. Otherwise lowers *due_us to the
+ * time of the next scheduled fetch, if there is one. */
 bool mt_documents_next_fetch (struct mt_documents *documents,
                               struct mt_membership *membership,
                               struct mt_document_fetch *out,
                               int64_t *due_us);
-/* The fetch ended, well or not. */
+/* To be called when a fetch has ended, successfully or not. */
 void mt_documents_finish_fetch (struct mt_documents *documents,
                                 const struct mt_document_fetch *fetch);
 
--- a/daemon/dump.h
+++ b/daemon/dump.h
@@ -1,5 +1,5 @@
-/* The state dump: one JSON object, put together from sections. Each part of the daemon adds its own
- * to the table in daemon.c; any thread may ask for the text. */
+/* The state dump: one JSON object with a member for each section. Each part of the daemon has its
+ * section in the table in daemon.c. Any thread may call. */
 #ifndef MT_DUMP_H
 #define MT_DUMP_H
 
@@ -7,13 +7,13 @@
 
 struct mt_dump_section
 {
-  const char *name; /* of the member that it fills */
+  const char *name; /* of the member of the JSON object */
   const char *description;
-  /* Its value; NULL leaves it out. */
+  /* Returns the section's value; NULL omits the section. */
   json_t *(*show) (void *ctx);
 };
 
-/* Ended by a section without a name. The text is g_freed by the caller. */
+/* sections ends with an entry whose name is NULL. Returns the text, to be freed with g_free. */
 char *mt_dump_text (const struct mt_dump_section *sections, void *ctx);
 
 #endif
--- a/daemon/feed.c
+++ b/daemon/feed.c
@@ -6,18 +6,21 @@
 
 #include <xxhash.h>
 
-/* A longer watch would cost fewer calls, but a platform that vanished without a word is noticed
- * only when the watch is overdue, and a change has to be in force within 7 s. */
-#define WATCH_US (5 * MT_SECOND)
-/* Daemons that lost the platform together come back spread over the pause, so that its recovery is
- * no stampede. The pause doubles up to its end while the platform stays away. */
-#define PAUSE_FIRST_US (200 * MT_MS)
-#define PAUSE_LAST_US  (3200 * MT_MS)
-/* While nothing is accepted yet there is no index to wait at and the watch answers at once: this
- * pause, from a half to one and a half of it, bounds the calls. */
-#define PAUSE_EMPTY_US (1 * MT_SECOND)
-/* Spreads the second reads of a repair, so that most daemons find the first one's work done. Counts
- * towards the time that `medlartrackctl apply` waits before it tells "accepted". */
+/* A longer watch would cost fewer calls, but a platform that vanished without closing the
+ * connection is noticed only when the watch is overdue, and a change has to be in force within 7 s.
+ */
+#define WATCH_TIMEOUT_US (5 * MT_SECOND)
+/* Backoff between calls while the platform is unreachable. It doubles up to the maximum. Each wait
+ * is a random part of it, so that daemons which lost the platform together don't all call at once
+ * when it recovers. */
+#define MIN_BACKOFF_US (200 * MT_MS)
+#define MAX_BACKOFF_US (3200 * MT_MS)
+/* Delay between watches before the first tables are accepted, jittered from a half to one and a
+ * half of this. There is no index to wait at then and the watch returns at once, so the delay
+ * bounds the number of calls. */
+#define EMPTY_DELAY_US (1 * MT_SECOND)
+/* Spreads the second reads of a repair, so that most daemons find the store repaired by the first.
+ * Part of the time that `medlartrackctl apply` waits before it reports "accepted". */
 #define REPAIR_JITTER_US (200 * MT_MS)
 
 struct mt_feed
@@ -25,19 +28,19 @@
   struct mt_http_client *client;
   struct mt_platform *platform;
   const struct mt_store *store;
-  struct mt_view_holder *views; /* touched only under lock and while not stopping */
+  struct mt_view_holder *views; /* accessed only under lock and while not stopping */
   GMutex lock;
   GCond stopped;
   bool stopping; /* guarded by lock */
-  gint refs;     /* atomic: the owner's and the thread's */
-  /* The thread's own. */
+  gint refs;     /* atomic: one for the owner, one for the thread */
+  /* Accessed by the thread only. */
   GRand *rand;
-  int64_t pause_us;
+  int64_t backoff_us;
   bool reachable;
-  uint64_t seen_hash;    /* of the value that is in force here, 0 for none */
-  uint64_t seen_version; /* its version */
-  uint64_t told_index;   /* of the last value that was told as refused or forked */
-  char *told_fork;
+  uint64_t seen_hash;     /* of the stored value that is in force here; 0: none */
+  uint64_t seen_version;  /* its version */
+  uint64_t refused_index; /* of the last value that was logged as refused */
+  char *logged_fork;
 };
 
 static void
@@ -50,7 +53,7 @@
   g_mutex_clear (&feed->lock);
   g_cond_clear (&feed->stopped);
   g_rand_free (feed->rand);
-  g_free (feed->told_fork);
+  g_free (feed->logged_fork);
   g_free (feed);
 }
 
@@ -65,7 +68,7 @@
   return stopping;
 }
 
-/* Waits up to that long; a stop ends it. */
+/* Sleeps for us; a stop ends the sleep. */
 static void
 wait_us (struct mt_feed *feed, int64_t us)
 {
@@ -78,93 +81,97 @@
 }
 
 static int64_t
-draw_us (struct mt_feed *feed, int64_t most)
+random_delay_us (struct mt_feed *feed, int64_t max_us)
 {
-  return (int64_t) g_rand_double_range (feed->rand, 0, (double) most);
+  return (int64_t) g_rand_double_range (feed->rand, 0, (double) max_us);
 }
 
-/* A copy of what is in force, since a reader of the view may not block; NULL for none. */
+/* Returns a copy of the tables in force, since a reader of the view must not block; NULL if there
+ * are none. */
 static struct mt_tables *
-copy_held (struct mt_feed *feed)
+copy_tables (struct mt_feed *feed)
 {
   g_autofree char *text = NULL;
-  const struct mt_tables *held;
+  const struct mt_tables *tables;
 
   g_mutex_lock (&feed->lock);
   if (!feed->stopping)
     {
-      held = mt_view_begin (feed->views);
-      if (held != NULL)
-        text = mt_tables_format (held, held->version, held->id.data);
+      tables = mt_view_begin (feed->views);
+      if (tables != NULL)
+        text = mt_tables_format (tables, tables->version, tables->id.data);
       mt_view_end ();
     }
   g_mutex_unlock (&feed->lock);
   return text != NULL ? mt_tables_parse (mt_str_from (text), NULL) : NULL;
 }
 
-/* The store gave an older value, or none. Told only where it turns out to be so. */
+/* Writes the tables in force to a store that returned older ones or none. Logged only if the store
+ * was written. */
 static void
-repair (struct mt_feed *feed)
+repair_store (struct mt_feed *feed)
 {
   g_autoptr (GError) error = NULL;
-  struct mt_tables *held = copy_held (feed);
+  struct mt_tables *tables = copy_tables (feed);
 
-  if (held == NULL)
+  if (tables == NULL)
     return;
-  wait_us (feed, draw_us (feed, REPAIR_JITTER_US));
-  if (!is_stopping (feed) && mt_acceptance_repair (feed->store, held, &error) == MT_REPAIR_DONE)
-    mt_log_event (MT_EVENT_TABLES_REPAIRED, "version=%" G_GUINT64_FORMAT " id=%s", held->version,
-                  held->id.data);
-  mt_tables_destroy (held);
+  wait_us (feed, random_delay_us (feed, REPAIR_JITTER_US));
+  if (!is_stopping (feed) && mt_acceptance_repair (feed->store, tables, &error) == MT_REPAIR_DONE)
+    mt_log_event (MT_EVENT_TABLES_REPAIRED, "version=%" G_GUINT64_FORMAT " id=%s", tables->version,
+                  tables->id.data);
+  mt_tables_destroy (tables);
 }
 
 static enum mt_acceptance
-judge (struct mt_feed *feed, const struct mt_tables *offered)
+compare_with_tables_in_force (struct mt_feed *feed, const struct mt_tables *offered)
 {
-  enum mt_acceptance verdict = mt_acceptance_compare (mt_view_begin (feed->views), offered);
+  enum mt_acceptance acceptance = mt_acceptance_compare (mt_view_begin (feed->views), offered);
 
   mt_view_end ();
-  return verdict;
+  return acceptance;
 }
 
 static void
-tell_fork (struct mt_feed *feed, const struct mt_tables *offered)
+log_fork (struct mt_feed *feed, const struct mt_tables *offered)
 {
-  if (g_strcmp0 (feed->told_fork, offered->id.data) == 0)
+  if (g_strcmp0 (feed->logged_fork, offered->id.data) == 0)
     return;
-  g_free (feed->told_fork);
-  feed->told_fork = g_strdup (offered->id.data);
+  g_free (feed->logged_fork);
+  feed->logged_fork = g_strdup (offered->id.data);
   mt_log_event (MT_EVENT_TABLES_FORKED, "version=%" G_GUINT64_FORMAT " refused_id=%s",
                 offered->version, offered->id.data);
 }
 
-/* Takes the tables over; the lock is held and the feed is not stopping. */
+/* Takes ownership of the tables, and puts them in force if they are newer. The lock is held and the
+ * feed is not stopping. */
 static enum mt_acceptance
-offer (struct mt_feed *feed, struct mt_tables *tables)
+offer_tables (struct mt_feed *feed, struct mt_tables *tables)
 {
-  enum mt_acceptance verdict = judge (feed, tables);
+  enum mt_acceptance acceptance = compare_with_tables_in_force (feed, tables);
 
-  switch (verdict)
+  switch (acceptance)
     {
     case MT_ACCEPTANCE_NEWER:
       mt_view_offer (feed->views, tables);
-      return verdict;
+      return acceptance;
     case MT_ACCEPTANCE_SAME:
       mt_view_confirm (feed->views);
       break;
     case MT_ACCEPTANCE_FORKED:
-      tell_fork (feed, tables);
+      log_fork (feed, tables);
       break;
     case MT_ACCEPTANCE_OLDER:
       break;
     }
   mt_tables_destroy (tables);
-  return verdict;
+  return acceptance;
 }
 
-/* Most watches end with the value as it was: parsing the whole tables each time would be the
- * largest idle cost of a daemon. The hash, and not the store's index, tells: an index may come back
- * after a restore with another value. */
+/* Whether the value is the one in force, which is then confirmed, or there is nothing to do. Most
+ * watches end with an unchanged value: parsing the whole tables each time would be the largest idle
+ * cost of a daemon. Values are compared by their hash, not by the store's index: after a restore an
+ * index may recur with another value. */
 static bool
 confirm_if_seen (struct mt_feed *feed, const struct mt_store_value *value)
 {
@@ -183,18 +190,18 @@
 }
 
 static void
-take_value (struct mt_feed *feed, const struct mt_store_value *value)
+process_value (struct mt_feed *feed, const struct mt_store_value *value)
 {
   g_autoptr (GError) error = NULL;
   struct mt_tables *tables = mt_tables_parse ((struct mt_str){ value->data, value->len }, &error);
-  enum mt_acceptance verdict = MT_ACCEPTANCE_SAME;
+  enum mt_acceptance acceptance = MT_ACCEPTANCE_SAME;
   uint64_t version;
 
   if (tables == NULL)
     {
-      if (feed->told_index != value->index)
+      if (feed->refused_index != value->index)
         mt_log_event (MT_EVENT_TABLES_REFUSED, "why=%s", error->message);
-      feed->told_index = value->index;
+      feed->refused_index = value->index;
       return;
     }
   version = tables->version;
@@ -202,32 +209,32 @@
   if (feed->stopping)
     mt_tables_destroy (tables);
   else
-    verdict = offer (feed, tables);
+    acceptance = offer_tables (feed, tables);
   g_mutex_unlock (&feed->lock);
-  if (verdict == MT_ACCEPTANCE_NEWER || verdict == MT_ACCEPTANCE_SAME)
+  if (acceptance == MT_ACCEPTANCE_NEWER || acceptance == MT_ACCEPTANCE_SAME)
     {
       feed->seen_hash = XXH3_64bits (value->data, value->len);
       feed->seen_version = version;
     }
-  else if (verdict == MT_ACCEPTANCE_OLDER)
-    repair (feed);
+  else if (acceptance == MT_ACCEPTANCE_OLDER)
+    repair_store (feed);
 }
 
 static void
-note_reachable (struct mt_feed *feed, bool ok, const GError *error)
+update_reachable (struct mt_feed *feed, bool ok, const GError *error)
 {
   if (ok != feed->reachable)
     mt_log_event (ok ? MT_EVENT_PLATFORM_BACK : MT_EVENT_PLATFORM_UNREACHABLE, "why=%s",
                   ok ? "" : error->message);
   feed->reachable = ok;
   if (ok)
-    feed->pause_us = PAUSE_FIRST_US;
+    feed->backoff_us = MIN_BACKOFF_US;
 }
 
-/* The store did not change, but the peers brought something newer than it: its value is wanted
- * after all, to see whether it has to be repaired. */
+/* Reads the value if the watch returned none. That happens when the store did not change but a peer
+ * delivered newer tables: the value then shows whether the store has to be repaired. */
 static bool
-with_data (struct mt_feed *feed, struct mt_store_value *value)
+ensure_data (struct mt_feed *feed, struct mt_store_value *value)
 {
   if (value->data != NULL)
     return true;
@@ -235,45 +242,46 @@
   return feed->store->ops->get (feed->store->ctx, MT_TABLES_KEY, value, NULL) && value->found;
 }
 
-/* One watch and what follows from it; index is that of the value last seen. */
+/* Makes one watch and handles its result. *index is the index of the last value seen. */
 static void
-step (struct mt_feed *feed, uint64_t *index)
+watch_once (struct mt_feed *feed, uint64_t *index)
 {
   g_autoptr (GError) error = NULL;
   struct mt_store_value value;
   bool ok;
 
-  ok = feed->store->ops->watch (feed->store->ctx, MT_TABLES_KEY, *index, WATCH_US, &value, &error);
+  ok = feed->store->ops->watch (feed->store->ctx, MT_TABLES_KEY, *index, WATCH_TIMEOUT_US, &value,
+                                &error);
   if (is_stopping (feed))
     {
       mt_store_value_clear (&value);
       return;
     }
-  note_reachable (feed, ok, error);
+  update_reachable (feed, ok, error);
   if (!ok)
     {
-      wait_us (feed, draw_us (feed, feed->pause_us));
-      feed->pause_us = MIN (feed->pause_us * 2, PAUSE_LAST_US);
+      wait_us (feed, random_delay_us (feed, feed->backoff_us));
+      feed->backoff_us = MIN (feed->backoff_us * 2, MAX_BACKOFF_US);
     }
   else if (!value.found)
     {
-      repair (feed);
-      wait_us (feed, PAUSE_EMPTY_US / 2 + draw_us (feed, PAUSE_EMPTY_US));
+      repair_store (feed);
+      wait_us (feed, EMPTY_DELAY_US / 2 + random_delay_us (feed, EMPTY_DELAY_US));
     }
-  else if (!confirm_if_seen (feed, &value) && with_data (feed, &value))
-    take_value (feed, &value);
+  else if (!confirm_if_seen (feed, &value) && ensure_data (feed, &value))
+    process_value (feed, &value);
   *index = value.index;
   mt_store_value_clear (&value);
 }
 
 static gpointer
-run (gpointer data)
+run_feed (gpointer data)
 {
   struct mt_feed *feed = data;
   uint64_t index = 0;
 
   while (!is_stopping (feed))
-    step (feed, &index);
+    watch_once (feed, &index);
   feed_unref (feed);
   return NULL;
 }
@@ -296,13 +304,14 @@
   g_cond_init (&feed->stopped);
   feed->refs = 2;
   feed->rand = g_rand_new ();
-  feed->pause_us = PAUSE_FIRST_US;
+  feed->backoff_us = MIN_BACKOFF_US;
   feed->reachable = true;
-  g_thread_unref (g_thread_new ("feed", run, feed));
+  g_thread_unref (g_thread_new ("feed", run_feed, feed));
   return feed;
 }
 
-/* Joining the thread would hold the daemon's stop up until the watch ends, seconds later. */
+/* The thread is not joined: that would delay the daemon's stop until the watch ends, seconds
+ * later. */
 void
 mt_feed_destroy (struct mt_feed *feed)
 {
--- a/daemon/front.h
+++ b/daemon/front.h
@@ -1,5 +1,5 @@
-/* The request path: a caller's request in, one typed answer out. Runs in the connection's thread.
- */
+/* The request path: forwards a caller's request to a minion and sets exactly one answer. Runs in
+ * the connection's thread. */
 #ifndef MT_FRONT_H
 #define MT_FRONT_H
 
@@ -17,7 +17,7 @@
   struct mt_view_holder *views;
   struct mt_pools *pools;
   struct mt_http_exchanges *exchanges;
-  struct mt_claims *claims; /* of requests that may not be repeated */
+  struct mt_claims *claims; /* for requests that may not be repeated */
   struct mt_counters *counters;
   size_t answer_bytes;
 };
--- a/daemon/gather.c
+++ b/daemon/gather.c
@@ -6,12 +6,12 @@
 {
   GStringChunk *names;
   GArray *members; /* struct mt_assign_member, loads owned */
-  guint n_heard;   /* the first so many were heard of, the rest is only registered */
+  guint n_live;    /* number of live members, which come first; the others are only registered */
   GArray *demands; /* struct mt_capacity_demand */
 };
 
 static const char *
-keep (struct mt_gather *gather, const char *text)
+intern (struct mt_gather *gather, const char *text)
 {
   return g_string_chunk_insert_const (gather->names, text);
 }
@@ -23,7 +23,7 @@
 
   for (size_t i = 0; i < n; i++)
     copy[i]
-        = (struct mt_member_load){ (char *) keep (gather, loads[i].minion), loads[i].in_flight };
+        = (struct mt_member_load){ (char *) intern (gather, loads[i].minion), loads[i].in_flight };
   return copy;
 }
 
@@ -35,7 +35,7 @@
             size_t n)
 {
   struct mt_assign_member member = {
-    .name = keep (gather, name),
+    .name = intern (gather, name),
     .version = version,
     .loads = copy_loads (gather, loads, n),
     .n_loads = n,
@@ -47,7 +47,7 @@
 static void
 add_demand (struct mt_gather *gather, const char *pool, double slots)
 {
-  struct mt_capacity_demand demand = { keep (gather, pool), slots };
+  struct mt_capacity_demand demand = { intern (gather, pool), slots };
 
   for (guint i = 0; i < gather->demands->len; i++)
     {
@@ -68,7 +68,7 @@
   struct mt_gather *gather = ctx;
 
   add_member (gather, member->name, member->loads_assign_version, member->loads, member->n_loads);
-  gather->n_heard = gather->members->len;
+  gather->n_live = gather->members->len;
   for (size_t i = 0; i < member->n_demands; i++)
     add_demand (gather, member->demands[i].pool,
                 member->demands[i].waiting + member->demands[i].in_flight);
@@ -109,8 +109,8 @@
 void
 mt_gather_mark_gone (struct mt_gather *gather, const struct mt_instances *list)
 {
-  /* The list lags: one that is heard of was replaced under the same name. */
-  for (guint i = gather->n_heard; i < gather->members->len; i++)
+  /* Live members are skipped: the list lags, and a live one was replaced under the same name. */
+  for (guint i = gather->n_live; i < gather->members->len; i++)
     {
       struct mt_assign_member *member
           = &g_array_index (gather->members, struct mt_assign_member, i);
--- a/daemon/gather.h
+++ b/daemon/gather.h
@@ -1,5 +1,5 @@
-/* What the planner knows of the data centre's daemons in one moment, copied out of the membership.
- * Used by the planner's thread alone. */
+/* A snapshot of the data centre's daemons for one planner step, copied from the membership. Used by
+ * the planner's thread only. */
 #ifndef MT_GATHER_H
 #define MT_GATHER_H
 
@@ -10,9 +10,11 @@
 
 struct mt_gather *mt_gather_create (const struct mt_control_options *options);
 void mt_gather_destroy (struct mt_gather *gather);
-/* A daemon that may hold a document, heard of or not: unheard, it confirms nothing. */
+/* Adds a daemon that may hold a document, unless it is in the snapshot already. One added here is
+ * not a live member and confirms no version. */
 void mt_gather_add_registered (struct mt_gather *gather, const char *name);
-/* Those that the list calls gone, and that nobody hears of, stand in no drain's way. */
+/* Marks the daemons as gone that the list calls gone and that are no live members: drains don't
+ * wait for them. */
 void mt_gather_mark_gone (struct mt_gather *gather, const struct mt_instances *list);
 const struct mt_assign_member *mt_gather_members (const struct mt_gather *gather, size_t *n);
 const struct mt_capacity_demand *mt_gather_demands (const struct mt_gather *gather, size_t *n);
--- a/daemon/heartbeat.c
+++ b/daemon/heartbeat.c
@@ -5,8 +5,8 @@
   struct mt_pools *pools;
   const struct mt_settings *settings;
   struct mt_jobs_part *jobs;  /* set before the heartbeat thread starts */
-  struct mt_proxied *proxied; /* likewise */
-  struct mt_shares *shares;   /* that the pools hold now; of the heartbeat thread */
+  struct mt_proxied *proxied; /* set before the heartbeat thread starts */
+  struct mt_shares *shares;   /* in use by the pools; accessed by the heartbeat thread only */
 };
 
 struct collected
@@ -56,7 +56,8 @@
   g_array_set_clear_func (collected.loads, clear_load);
   g_array_set_clear_func (collected.demands, clear_demand);
   mt_pools_each (heartbeat->pools, &visitor);
-  /* Tasks on an instance that drains are in flight too: else it would be rebooted under them. */
+  /* Tasks on a draining instance count as in flight: otherwise it would be rebooted while they
+   * run. */
   mt_jobs_part_each_draining (heartbeat->jobs, collect_minion, &collected);
   mt_proxied_each_draining (heartbeat->proxied, collect_minion, &collected);
   mt_peers_set_loads (peers, (struct mt_member_load *) collected.loads->data, collected.loads->len,
@@ -66,7 +67,7 @@
 }
 
 static void
-hand_shares (void *ctx, struct mt_peers *peers)
+update_shares (void *ctx, struct mt_peers *peers)
 {
   struct mt_heartbeat *heartbeat = ctx;
   struct mt_shares *old = heartbeat->shares;
@@ -80,9 +81,9 @@
 
 static const struct mt_peers_callbacks callbacks = {
   .name = "pools",
-  .description = "reports the pools' loads and hands them their share of the slots",
+  .description = "reports the pools' loads and sets their share of the slots",
   .report = report_loads,
-  .after_heartbeat = hand_shares,
+  .after_heartbeat = update_shares,
 };
 
 const struct mt_peers_callbacks *
--- a/daemon/heartbeat.h
+++ b/daemon/heartbeat.h
@@ -1,4 +1,5 @@
-/* What this daemon's heartbeats carry of its pools, and what the others' bring to them. */
+/* Connects pools and heartbeats: reports the pools' loads in this daemon's heartbeats, and gives
+ * the loads that other daemons reported to the pools. */
 #ifndef MT_HEARTBEAT_H
 #define MT_HEARTBEAT_H
 
@@ -9,14 +10,15 @@
 
 struct mt_heartbeat;
 
-/* pools outlive the heartbeat. */
+/* pools and settings outlive the heartbeat. */
 struct mt_heartbeat *mt_heartbeat_create (struct mt_pools *pools,
                                           const struct mt_settings *settings);
-/* Whose tasks hold instances too; before the peers start, NULL for none. */
+/* Sets the jobs whose tasks count as load of draining instances; NULL: none. Call before the peers
+ * start. */
 void mt_heartbeat_set_jobs (struct mt_heartbeat *heartbeat, struct mt_jobs_part *jobs);
-/* Who hold drains up; before the peers start. */
+/* Sets the proxied daemons, which delay drains. Call before the peers start. */
 void mt_heartbeat_set_proxied (struct mt_heartbeat *heartbeat, struct mt_proxied *proxied);
-/* Once neither peers nor pools are called any more, and before the pools are destroyed. */
+/* Call once neither peers nor pools are called any more, and before the pools are destroyed. */
 void mt_heartbeat_destroy (struct mt_heartbeat *heartbeat);
 /* For mt_peers_options; their ctx is the heartbeat. */
 const struct mt_peers_callbacks *mt_heartbeat_callbacks (void);
--- a/daemon/instances.c
+++ b/daemon/instances.c
@@ -12,7 +12,7 @@
 };
 
 static int
-compare (gconstpointer a, gconstpointer b)
+compare_names (gconstpointer a, gconstpointer b)
 {
   const struct mt_planner_instance *left = a;
   const struct mt_planner_instance *right = b;
@@ -21,7 +21,7 @@
 }
 
 static void
-take_row (struct mt_instances *list, json_t *row)
+add_row (struct mt_instances *list, json_t *row)
 {
   struct mt_planner_instance instance = { 0 };
   const char *state = NULL;
@@ -52,8 +52,8 @@
   list->gone = g_hash_table_new (g_str_hash, g_str_equal);
   rows = json_object_get (list->root, "instances");
   for (size_t i = 0; i < json_array_size (rows); i++)
-    take_row (list, json_array_get (rows, i));
-  g_array_sort (list->rows, compare);
+    add_row (list, json_array_get (rows, i));
+  g_array_sort (list->rows, compare_names);
   return list;
 }
 
@@ -78,11 +78,11 @@
 const struct mt_planner_instance *
 mt_instances_find (const struct mt_instances *list, const char *name)
 {
-  struct mt_planner_instance wanted = { .name = name };
+  struct mt_planner_instance key = { .name = name };
 
   if (list->rows->len == 0)
     return NULL;
-  return bsearch (&wanted, list->rows->data, list->rows->len, sizeof wanted, compare);
+  return bsearch (&key, list->rows->data, list->rows->len, sizeof key, compare_names);
 }
 
 bool
--- a/daemon/instances.h
+++ b/daemon/instances.h
@@ -9,14 +9,16 @@
 
 struct mt_instances;
 
-/* An empty list where the text is none; a row that can't be read is left out. */
+/* Returns an empty list if the text is empty or can't be parsed; skips rows that can't be parsed.
+ */
 struct mt_instances *mt_instances_parse (struct mt_str json);
 void mt_instances_destroy (struct mt_instances *list);
-/* Sorted by name, as the planner wants them; valid as long as the list. */
+/* Returns the instances sorted by name, as the planner requires; valid as long as the list. */
 const struct mt_planner_instance *mt_instances_all (const struct mt_instances *list, size_t *n);
 const struct mt_planner_instance *mt_instances_find (const struct mt_instances *list,
                                                      const char *name);
-/* The platform says that it is gone for good; not being listed is no such word. */
+/* Whether the platform reports the instance as permanently gone. One that is not listed does not
+ * count as gone. */
 bool mt_instances_is_gone (const struct mt_instances *list, const char *name);
 
 #endif
--- a/daemon/jobs_part.c
+++ b/daemon/jobs_part.c
@@ -82,7 +82,7 @@
   g_free (part);
 }
 
-struct held
+struct visitor
 {
   const struct mt_jobs_part *part;
   void (*visit) (void *ctx, const char *instance, unsigned tasks);
@@ -92,12 +92,12 @@
 static void
 visit_busy (void *ctx, const char *worker, unsigned tasks)
 {
-  const struct held *held = ctx;
+  const struct visitor *visitor = ctx;
   bool draining = false;
-  g_autofree char *pool = pool_of ((void *) held->part, worker, &draining);
+  g_autofree char *pool = pool_of ((void *) visitor->part, worker, &draining);
 
   if (pool != NULL && draining)
-    held->visit (held->ctx, worker, tasks);
+    visitor->visit (visitor->ctx, worker, tasks);
 }
 
 void
@@ -105,10 +105,10 @@
                             void (*visit) (void *ctx, const char *instance, unsigned tasks),
                             void *ctx)
 {
-  struct held held = { part, visit, ctx };
+  struct visitor visitor = { part, visit, ctx };
 
   if (part != NULL)
-    mt_jobs_runner_each_busy (part->runner, visit_busy, &held);
+    mt_jobs_runner_each_busy (part->runner, visit_busy, &visitor);
 }
 
 json_t *
--- a/daemon/jobs_part.h
+++ b/daemon/jobs_part.h
@@ -1,4 +1,4 @@
-/* The daemon's jobs: the runner, bound to the planner's lease, the assignment records and the
+/* The daemon's jobs: connects the runner to the planner's lease, the assignment records and the
  * platform's workers. Any thread may call. */
 #ifndef MT_JOBS_PART_H
 #define MT_JOBS_PART_H
@@ -19,18 +19,19 @@
   struct mt_control *control;
 };
 
-/* NULL where the settings name no workers: this daemon then places no jobs. */
+/* Returns NULL if the settings name no workers: this daemon then places no jobs. */
 struct mt_jobs_part *mt_jobs_part_create (const struct mt_jobs_part_options *options);
-/* Plans no more; before the control that it asks is destroyed. part may be NULL. */
+/* Stops planning. Call before the control, which the part queries, is destroyed. part may be
+ * NULL. */
 void mt_jobs_part_stop (struct mt_jobs_part *part);
 void mt_jobs_part_destroy (struct mt_jobs_part *part);
-/* Calls visit for each instance that must not be moved or rebooted yet, because tasks run on its
- * worker: those that no longer serve. One that serves is left out, or its tasks would count against
- * the slots of requests. part may be NULL. */
+/* Calls visit for each instance that no longer serves but must not be moved or rebooted yet,
+ * because tasks run on its worker. Instances that serve are left out: their tasks would count
+ * against the slots of requests. part may be NULL. */
 void mt_jobs_part_each_draining (struct mt_jobs_part *part,
                                  void (*visit) (void *ctx, const char *instance, unsigned tasks),
                                  void *ctx);
-/* NULL for a NULL part. */
+/* Returns NULL if part is NULL. */
 json_t *mt_jobs_part_dump (struct mt_jobs_part *part);
 
 #endif
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -5,31 +5,31 @@
 
 #include <string.h>
 
-#define ROUND_US     (500 * MT_MS) /* at most two batches a second to the platform */
-#define NEWS_WAIT_US (250 * MT_MS)
-#define RETRY_US     (1 * MT_SECOND)
-#define MAX_REASONS  20 /* shown in the dump */
+#define ROUND_INTERVAL_US (500 * MT_MS) /* limits the platform's load to two batches a second */
+#define POLL_TIMEOUT_US   (250 * MT_MS)
+#define RETRY_DELAY_US    (1 * MT_SECOND)
+#define MAX_REASONS       20 /* shown in the dump */
 
 struct mt_jobs_runner
 {
   struct mt_jobs_runner_options options;
   GThread *thread;
 
-  /* The thread's own. */
+  /* Accessed by the thread only. */
   struct mt_jobs_journal *journal;
-  uint64_t news_index;
-  uint64_t tables_version; /* that the book was last brought up to */
+  uint64_t poll_index;
+  uint64_t tables_version; /* of the tables last applied to the state */
   GHashTable *declared;    /* names of the jobs that the tables declare here */
-  GHashTable *removed;     /* names whose row is gone and whose job has not ended */
+  GHashTable *removed;     /* names of jobs whose row was removed and that have not ended */
 
   GMutex lock; /* guards all below */
   GCond wake;
   bool stopping;
-  struct mt_jobs *book; /* NULL while not the planner */
+  struct mt_jobs *state; /* NULL while not the planner */
 };
 
 static bool
-rest (struct mt_jobs_runner *runner, int64_t us)
+sleep_unless_stopping (struct mt_jobs_runner *runner, int64_t us)
 {
   int64_t until = g_get_monotonic_time () + us;
   bool stopping;
@@ -43,68 +43,70 @@
 }
 
 static void
-set_book (struct mt_jobs_runner *runner, struct mt_jobs *book)
+set_state (struct mt_jobs_runner *runner, struct mt_jobs *state)
 {
   struct mt_jobs *old;
 
   g_mutex_lock (&runner->lock);
-  old = runner->book;
-  runner->book = book;
+  old = runner->state;
+  runner->state = state;
   g_mutex_unlock (&runner->lock);
   mt_jobs_destroy (old);
 }
 
 static void
-drop_book (struct mt_jobs_runner *runner, const char *why)
+drop_state (struct mt_jobs_runner *runner, const char *why)
 {
-  if (runner->book == NULL)
+  if (runner->state == NULL)
     return;
   mt_log_event (MT_EVENT_JOBS_DROPPED, "why=%s", why);
-  set_book (runner, NULL);
+  set_state (runner, NULL);
   g_clear_pointer (&runner->journal, mt_jobs_journal_destroy);
-  runner->news_index = 0;
+  runner->poll_index = 0;
   runner->tables_version = 0;
   g_hash_table_remove_all (runner->declared);
   g_hash_table_remove_all (runner->removed);
 }
 
 static void
-take_worker (struct mt_jobs *book, const struct mt_worker_news *news)
+update_worker (struct mt_jobs *state, const struct mt_worker_news *update)
 {
-  struct mt_worker_spec spec = { news->name, news->rack, "", news->size, news->lease };
-
-  if (mt_jobs_worker_pool (book, news->name) != NULL)
-    spec.pool = mt_jobs_worker_pool (book, news->name);
-  mt_jobs_set_worker (book, &spec);
-  mt_jobs_worker_restarted (book, news->name, news->lease);
-  if (news->alive)
-    mt_jobs_worker_lease_regained (book, news->name, news->lease);
+  struct mt_worker_spec spec = { update->name, update->rack, "", update->size, update->lease };
+
+  if (mt_jobs_worker_pool (state, update->name) != NULL)
+    spec.pool = mt_jobs_worker_pool (state, update->name);
+  mt_jobs_set_worker (state, &spec);
+  mt_jobs_worker_restarted (state, update->name, update->lease);
+  if (update->alive)
+    mt_jobs_worker_lease_regained (state, update->name, update->lease);
   else
-    mt_jobs_worker_lease_lost (book, news->name, news->lease);
+    mt_jobs_worker_lease_lost (state, update->name, update->lease);
 }
 
 static void
-take_task (struct mt_jobs_runner *runner, struct mt_jobs *book, const struct mt_task_news *news)
+report_task (struct mt_jobs_runner *runner,
+             struct mt_jobs *state,
+             const struct mt_task_news *update)
 {
   struct mt_job_report report
-      = { news->kind,  news->job,   news->worker,
-          news->epoch, news->usage, mt_clock_now (runner->options.clock) - news->age_us };
+      = { update->kind,  update->job,   update->worker,
+          update->epoch, update->usage, mt_clock_now (runner->options.clock) - update->age_us };
 
-  mt_jobs_report (book, &report);
+  mt_jobs_report (state, &report);
 }
 
 static void
-take_workers (struct mt_jobs *book, const struct mt_workers_news *news)
+update_workers (struct mt_jobs *state, const struct mt_workers_news *updates)
 {
-  for (guint i = 0; i < news->workers->len; i++)
-    take_worker (book, &g_array_index (news->workers, struct mt_worker_news, i));
+  for (guint i = 0; i < updates->workers->len; i++)
+    update_worker (state, &g_array_index (updates->workers, struct mt_worker_news, i));
 }
 
-/* Which pool each worker serves now, by its instance's assignment. */
+/* Sets the pool that each worker serves now, by its instance's assignment. */
 static void
-assign_workers (struct mt_jobs_runner *runner, struct mt_jobs *book)
+assign_workers (struct mt_jobs_runner *runner, struct mt_jobs *state)
 {
-  g_autoptr (GPtrArray) names = mt_jobs_worker_names (book);
+  g_autoptr (GPtrArray) names = mt_jobs_worker_names (state);
 
   for (guint i = 0; i < names->len; i++)
     {
@@ -112,14 +114,14 @@
       g_autofree char *pool
           = runner->options.callbacks->pool_of (runner->options.ctx, names->pdata[i], &draining);
 
-      mt_jobs_move_worker (book, names->pdata[i], pool != NULL ? pool : "");
-      mt_jobs_drain_worker (book, names->pdata[i], draining);
+      mt_jobs_move_worker (state, names->pdata[i], pool != NULL ? pool : "");
+      mt_jobs_drain_worker (state, names->pdata[i], draining);
     }
 }
 
 static void
 declare_job (struct mt_jobs_runner *runner,
-             struct mt_jobs *book,
+             struct mt_jobs *state,
              const struct mt_pool *pool,
              const struct mt_job_row *row)
 {
@@ -136,29 +138,29 @@
   g_hash_table_add (runner->declared, g_strdup (row->job.data));
   g_hash_table_remove (runner->removed, row->job.data);
   if (row->cancelled)
-    mt_jobs_cancel (book, row->job.data);
+    mt_jobs_cancel (state, row->job.data);
   else
-    mt_jobs_submit (book, &spec);
+    mt_jobs_submit (state, &spec);
 }
 
 static void
-declare_pool (struct mt_jobs_runner *runner, struct mt_jobs *book, const struct mt_pool *pool)
+declare_pool (struct mt_jobs_runner *runner, struct mt_jobs *state, const struct mt_pool *pool)
 {
   for (size_t i = 0; i < pool->n_teams; i++)
     {
       const struct mt_team_row *row = &pool->teams[i];
       struct mt_job_resources quota = { row->cpu_milli, row->memory_mb, row->accelerators };
 
-      mt_jobs_set_quota (book, row->team.data, quota);
+      mt_jobs_set_quota (state, row->team.data, quota);
     }
   for (size_t i = 0; i < pool->n_jobs; i++)
     if (mt_str_equal (pool->jobs[i].zone, mt_str_from (runner->options.zone)))
-      declare_job (runner, book, pool, &pool->jobs[i]);
+      declare_job (runner, state, pool, &pool->jobs[i]);
 }
 
-/* A row that was removed cancels its job; the job is forgotten once it has ended. */
+/* Cancels the jobs whose row was removed, and removes them from the state once they have ended. */
 static void
-end_removed (struct mt_jobs_runner *runner, struct mt_jobs *book)
+cancel_removed (struct mt_jobs_runner *runner, struct mt_jobs *state)
 {
   GHashTableIter iter;
   gpointer name;
@@ -166,15 +168,15 @@
   g_hash_table_iter_init (&iter, runner->removed);
   while (g_hash_table_iter_next (&iter, &name, NULL))
     {
-      mt_jobs_cancel (book, name);
-      if (mt_jobs_remove (book, name))
+      mt_jobs_cancel (state, name);
+      if (mt_jobs_remove (state, name))
         g_hash_table_iter_remove (&iter);
     }
 }
 
-/* All that was declared counts as removed until its row is met again. */
+/* Counts all declared jobs as removed until declare_job finds their row again. */
 static void
-suppose_removed (struct mt_jobs_runner *runner)
+assume_removed (struct mt_jobs_runner *runner)
 {
   GHashTableIter iter;
   gpointer name;
@@ -188,95 +190,96 @@
 }
 
 static void
-take_tables (struct mt_jobs_runner *runner, struct mt_jobs *book)
+apply_tables (struct mt_jobs_runner *runner, struct mt_jobs *state)
 {
   const struct mt_tables *tables = mt_view_begin (runner->options.views);
 
   if (tables != NULL && tables->version != runner->tables_version)
     {
-      suppose_removed (runner);
+      assume_removed (runner);
       for (size_t i = 0; i < tables->n_pools; i++)
-        declare_pool (runner, book, &tables->pools[i]);
+        declare_pool (runner, state, &tables->pools[i]);
       runner->tables_version = tables->version;
     }
   mt_view_end ();
 }
 
 static bool
-poll_news (struct mt_jobs_runner *runner,
-           struct mt_workers_news *news,
-           int64_t wait_us,
-           GError **error)
+poll_workers (struct mt_jobs_runner *runner,
+              struct mt_workers_news *updates,
+              int64_t wait_us,
+              GError **error)
 {
-  if (!mt_workers_poll (runner->options.workers, runner->news_index, wait_us, news, error))
+  if (!mt_workers_poll (runner->options.workers, runner->poll_index, wait_us, updates, error))
     return false;
-  runner->news_index = news->index;
+  runner->poll_index = updates->index;
   return true;
 }
 
-/* A fresh book: the workers as they are, what the tables declare, then what is recorded. Reports
- * come last, since they speak of what the record knows. */
+/* Builds the state: the workers as they are, the jobs that the tables declare, then what the
+ * journal records. Reports come last, since they refer to recorded tasks. */
 static bool
-load_book (struct mt_jobs_runner *runner, GError **error)
+load_state (struct mt_jobs_runner *runner, GError **error)
 {
   struct mt_jobs_options options = mt_jobs_default_options ();
-  struct mt_jobs *book = mt_jobs_create (runner->options.clock, &options);
+  struct mt_jobs *state = mt_jobs_create (runner->options.clock, &options);
   uint64_t writer = (uint64_t) g_random_int () << 32 | g_random_int ();
-  struct mt_workers_news news;
+  struct mt_workers_news updates;
   bool ok;
 
   runner->journal = mt_jobs_journal_create (runner->options.store, runner->options.zone, writer);
-  ok = poll_news (runner, &news, 0, error);
+  ok = poll_workers (runner, &updates, 0, error);
   if (ok)
     {
-      take_workers (book, &news);
-      assign_workers (runner, book);
-      take_tables (runner, book);
-      ok = mt_jobs_journal_load (runner->journal, book, error);
+      update_workers (state, &updates);
+      assign_workers (runner, state);
+      apply_tables (runner, state);
+      ok = mt_jobs_journal_load (runner->journal, state, error);
     }
-  for (guint i = 0; ok && i < news.tasks->len; i++)
-    take_task (runner, book, &g_array_index (news.tasks, struct mt_task_news, i));
-  mt_workers_news_clear (&news);
-  set_book (runner, book);
+  for (guint i = 0; ok && i < updates.tasks->len; i++)
+    report_task (runner, state, &g_array_index (updates.tasks, struct mt_task_news, i));
+  mt_workers_news_clear (&updates);
+  set_state (runner, state);
   if (ok)
     mt_log_event (MT_EVENT_JOBS_LOADED, "zone=%s", runner->options.zone);
   return ok;
 }
 
 static bool
-take_news (struct mt_jobs_runner *runner, GError **error)
+apply_updates (struct mt_jobs_runner *runner, GError **error)
 {
-  struct mt_workers_news news;
-  bool ok = poll_news (runner, &news, NEWS_WAIT_US, error);
+  struct mt_workers_news updates;
+  bool ok = poll_workers (runner, &updates, POLL_TIMEOUT_US, error);
 
   if (ok)
     {
       g_mutex_lock (&runner->lock);
-      take_workers (runner->book, &news);
-      for (guint i = 0; i < news.tasks->len; i++)
-        take_task (runner, runner->book, &g_array_index (news.tasks, struct mt_task_news, i));
+      update_workers (runner->state, &updates);
+      for (guint i = 0; i < updates.tasks->len; i++)
+        report_task (runner, runner->state, &g_array_index (updates.tasks, struct mt_task_news, i));
       g_mutex_unlock (&runner->lock);
     }
-  mt_workers_news_clear (&news);
+  mt_workers_news_clear (&updates);
   return ok;
 }
 
-/* Records first, acts then: an action that is not recorded could not be fenced by a successor. */
+/* Records the plan before it is executed: a successor could not fence an action that was not
+ * recorded. */
 static bool
-carry_out (struct mt_jobs_runner *runner,
-           const GArray *actions,
-           const GString *batch,
-           GError **error)
+execute_plan (struct mt_jobs_runner *runner,
+              const GArray *actions,
+              const GString *batch,
+              GError **error)
 {
-  g_autoptr (GError) lost = NULL;
+  g_autoptr (GError) act_error = NULL;
 
   if (batch->len > 0
       && mt_jobs_journal_append (runner->journal, (struct mt_str){ batch->str, batch->len }, error)
              != MT_JOURNAL_RECORDED)
     return false;
-  if (actions->len > 0 && !mt_workers_act (runner->options.workers, actions, &lost))
-    mt_log_event (MT_EVENT_JOBS_ACTIONS_LOST, "count=%u why=%s", actions->len, lost->message);
-  return mt_jobs_journal_compact (runner->journal, runner->book, error) == MT_JOURNAL_RECORDED;
+  if (actions->len > 0 && !mt_workers_act (runner->options.workers, actions, &act_error))
+    mt_log_event (MT_EVENT_JOBS_ACTIONS_LOST, "count=%u why=%s", actions->len, act_error->message);
+  return mt_jobs_journal_compact (runner->journal, runner->state, error) == MT_JOURNAL_RECORDED;
 }
 
 static bool
@@ -286,44 +289,44 @@
   g_autoptr (GString) batch = g_string_new (NULL);
 
   g_mutex_lock (&runner->lock);
-  take_tables (runner, runner->book);
-  end_removed (runner, runner->book);
-  assign_workers (runner, runner->book);
-  mt_jobs_plan (runner->book, actions);
-  mt_jobs_take_changes (runner->book, batch);
+  apply_tables (runner, runner->state);
+  cancel_removed (runner, runner->state);
+  assign_workers (runner, runner->state);
+  mt_jobs_plan (runner->state, actions);
+  mt_jobs_take_changes (runner->state, batch);
   g_mutex_unlock (&runner->lock);
-  return carry_out (runner, actions, batch, error);
+  return execute_plan (runner, actions, batch, error);
 }
 
-/* Returns how long to rest. */
+/* Runs one round. Returns the time to sleep before the next, in us. */
 static int64_t
 run_round (struct mt_jobs_runner *runner)
 {
   g_autoptr (GError) error = NULL;
-  int64_t begun = mt_clock_now (runner->options.clock);
+  int64_t started_us = mt_clock_now (runner->options.clock);
   bool ok;
 
   if (!runner->options.callbacks->is_planner (runner->options.ctx))
     {
-      drop_book (runner, "another daemon is the planner");
-      return ROUND_US;
+      drop_state (runner, "another daemon is the planner");
+      return ROUND_INTERVAL_US;
     }
-  ok = runner->book != NULL || load_book (runner, &error);
-  ok = ok && take_news (runner, &error) && plan_round (runner, &error);
+  ok = runner->state != NULL || load_state (runner, &error);
+  ok = ok && apply_updates (runner, &error) && plan_round (runner, &error);
   if (!ok)
     {
-      drop_book (runner, error != NULL ? error->message : "another planner's batch came first");
-      return RETRY_US;
+      drop_state (runner, error != NULL ? error->message : "another planner's batch came first");
+      return RETRY_DELAY_US;
     }
-  return MAX (0, begun + ROUND_US - mt_clock_now (runner->options.clock));
+  return MAX (0, started_us + ROUND_INTERVAL_US - mt_clock_now (runner->options.clock));
 }
 
 static gpointer
-run (gpointer data)
+run_thread (gpointer data)
 {
   struct mt_jobs_runner *runner = data;
 
-  while (rest (runner, run_round (runner)))
+  while (sleep_unless_stopping (runner, run_round (runner)))
     ;
   return NULL;
 }
@@ -338,7 +341,7 @@
   runner->removed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_mutex_init (&runner->lock);
   g_cond_init (&runner->wake);
-  runner->thread = g_thread_new ("jobs", run, runner);
+  runner->thread = g_thread_new ("jobs", run_thread, runner);
   return runner;
 }
 
@@ -357,7 +360,7 @@
 {
   if (runner == NULL)
     return;
-  mt_jobs_destroy (runner->book);
+  mt_jobs_destroy (runner->state);
   mt_jobs_journal_destroy (runner->journal);
   g_hash_table_unref (runner->declared);
   g_hash_table_unref (runner->removed);
@@ -372,8 +375,8 @@
                           void *ctx)
 {
   g_mutex_lock (&runner->lock);
-  if (runner->book != NULL)
-    mt_jobs_foreach_busy_worker (runner->book, visit, ctx);
+  if (runner->state != NULL)
+    mt_jobs_foreach_busy_worker (runner->state, visit, ctx);
   g_mutex_unlock (&runner->lock);
 }
 
@@ -402,9 +405,9 @@
   bool planner;
 
   g_mutex_lock (&runner->lock);
-  planner = runner->book != NULL;
+  planner = runner->state != NULL;
   if (planner)
-    mt_jobs_foreach_job (runner->book, dump_job, &dump);
+    mt_jobs_foreach_job (runner->state, dump_job, &dump);
   g_mutex_unlock (&runner->lock);
   return json_pack ("{sb so so}", "planner", planner, "states", dump.states, "reasons",
                     dump.reasons);
--- a/daemon/jobs_runner.h
+++ b/daemon/jobs_runner.h
@@ -1,6 +1,6 @@
-/* Keeps the jobs of a data centre placed: one thread that, while this daemon is its planner, feeds
- * the book with the tables and with the workers' news, records each plan, and then has it carried
- * out. */
+/* Places the jobs of a data centre: one thread that, while this daemon is the data centre's
+ * planner, updates the scheduler state from the tables and the workers' reports, records each plan,
+ * and then has the workers execute it. */
 #ifndef MT_JOBS_RUNNER_H
 #define MT_JOBS_RUNNER_H
 
@@ -17,11 +17,12 @@
 {
   const char *name;
   const char *description;
-  /* Whether this daemon is the data centre's planner now. Wrong answers cost rounds, not promises:
-   * the journal's compare-and-swap decides. */
+  /* Whether this daemon is the data centre's planner now. A wrong answer wastes rounds but breaks
+   * no guarantee: the journal's compare-and-swap decides. */
   bool (*is_planner) (void *ctx);
-  /* The pool that the instance on this worker belongs to, to be g_freed; NULL for none. An instance
-   * and the worker that it stands on share their name. */
+  /* Returns the pool of the instance on this worker, to be freed with g_free, and sets *draining if
+   * the instance no longer serves; NULL for none. An instance and the worker that it runs on have
+   * the same name. */
   char *(*pool_of) (void *ctx, const char *worker, bool *draining);
 };
 
@@ -38,17 +39,17 @@
 
 /* Starts the thread. */
 struct mt_jobs_runner *mt_jobs_runner_create (const struct mt_jobs_runner_options *options);
-/* Ends the thread: the callbacks are not called any more. */
+/* Stops the thread; afterwards the callbacks are not called any more. */
 void mt_jobs_runner_stop (struct mt_jobs_runner *runner);
-/* Stop it first. */
+/* Call mt_jobs_runner_stop first. */
 void mt_jobs_runner_destroy (struct mt_jobs_runner *runner);
 
-/* Calls visit for each worker with tasks by the book; for none where this daemon is not the
- * planner. Any thread; visit must not call the runner. */
+/* Calls visit for each worker that has tasks in the scheduler state; for none if this daemon is not
+ * the planner. Any thread; visit must not call the runner. */
 void mt_jobs_runner_each_busy (struct mt_jobs_runner *runner,
                                void (*visit) (void *ctx, const char *worker, unsigned tasks),
                                void *ctx);
-/* {"planner": bool, "jobs": {state: count}, "reasons": {job: reason}}. Any thread. */
+/* Returns {"planner": bool, "states": {state: count}, "reasons": {job: reason}}. Any thread. */
 json_t *mt_jobs_runner_dump (struct mt_jobs_runner *runner);
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -13,7 +13,7 @@
 enum exit_code
 {
   EXIT_OK = 0,
-  EXIT_START = 1,
+  EXIT_START_FAILED = 1,
   EXIT_USAGE = 2,
   EXIT_SETTINGS = 3,
 };
@@ -54,15 +54,16 @@
     }
 }
 
-/* One of the two is set: requests of minions, or jobs of a fleet of workers. */
-struct loaded
+/* One of the two is set: `requests` for a daemon that forwards requests to minions, `fleet` for a
+ * daemon that runs jobs on a fleet of workers. */
+struct loaded_settings
 {
   struct mt_settings *requests;
   struct mt_fleet_settings *fleet;
 };
 
 static bool
-load_settings (const char *path, struct loaded *out)
+load_settings (const char *path, struct loaded_settings *out)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
@@ -83,7 +84,8 @@
   return false;
 }
 
-/* Blocked before any thread starts, so that all threads inherit it and only sigwait takes them. */
+/* Blocks the signals that wait_for_stop handles. Call before any thread starts, so that all threads
+ * inherit the mask and only sigwait receives the signals. */
 static void
 block_signals (sigset_t *set)
 {
@@ -112,7 +114,7 @@
 }
 
 static int
-run (const struct mt_settings *settings)
+run_daemon (const struct mt_settings *settings)
 {
   g_autoptr (GError) error = NULL;
   struct mt_daemon *daemon;
@@ -125,7 +127,7 @@
   if (daemon == NULL)
     {
       mt_log_event (MT_EVENT_START_FAILED, "why=%s", error->message);
-      return EXIT_START;
+      return EXIT_START_FAILED;
     }
   mt_log_event (MT_EVENT_STARTED, "port=%u peer_port=%u", mt_daemon_port (daemon),
                 mt_daemon_peer_port (daemon));
@@ -145,7 +147,7 @@
   if (fleet == NULL)
     {
       fprintf (stderr, "medlartrackd: %s\n", error->message);
-      return EXIT_START;
+      return EXIT_START_FAILED;
     }
   mt_fleet_run (fleet);
   mt_fleet_destroy (fleet);
@@ -159,7 +161,7 @@
       = { options, parse_option, NULL, "Serves callers' requests from the pools' minions.",
           NULL,    NULL,         NULL };
   struct arguments arguments = { 0 };
-  struct loaded settings = { 0 };
+  struct loaded_settings settings = { 0 };
   int code = EXIT_OK;
 
   argp_err_exit_status = EXIT_USAGE;
@@ -171,7 +173,7 @@
   else if (settings.fleet != NULL)
     code = run_fleet (settings.fleet, arguments.settings);
   else if (settings.requests != NULL)
-    code = run (settings.requests);
+    code = run_daemon (settings.requests);
   mt_settings_destroy (settings.requests);
   mt_fleet_settings_destroy (settings.fleet);
   return code;
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -6,15 +6,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FAN_OUT         2 /* members asked with each heartbeat; docs/membership.md has the figures */
-#define EXCHANGE_US     (800 * MT_MS)
-#define FETCH_US        (5 * MT_SECOND)
-#define LEAVE_STRANGERS 8 /* told by address alone */
-#define LEAVE_US        (500 * MT_MS)
-#define THREADS         4
-#define KICK_EVERY_US   (50 * MT_MS) /* a burst of versions is told in one */
-#define STRANGER_EVERY  8            /* heartbeats: one of them also asks an address of no member */
-#define MAX_STRANGERS   512
+#define FAN_OUT                 2 /* members contacted in each heartbeat; see docs/membership.md */
+#define HEARTBEAT_TIMEOUT_US    (800 * MT_MS)
+#define FETCH_TIMEOUT_US        (5 * MT_SECOND)
+#define MAX_LEAVE_SEEDS         8 /* addresses without a member that are notified of leaving */
+#define LEAVE_TIMEOUT_US        (500 * MT_MS)
+#define THREADS                 4
+#define MIN_TRIGGER_INTERVAL_US (50 * MT_MS) /* changes within it share a heartbeat */
+#define SEED_INTERVAL           8            /* heartbeats per contact to an address of no member */
+#define MAX_SEEDS               512
 
 struct mt_peers
 {
@@ -27,16 +27,16 @@
   struct mt_peer_client *client;
   GSList *served; /* of struct served; written before the start */
   GThread *thread;
-  GThreadPool *workers; /* exchanges and fetches: one slow peer must not delay the others */
+  GThreadPool *workers; /* exchanges and fetches: a slow peer must not delay the others */
   GMutex lock;
   GCond wake;
   /* Guarded by lock. */
   struct mt_membership *membership;
   struct mt_documents *documents;
-  GPtrArray *strangers; /* addresses from the settings and the platform's list, each once */
-  unsigned stranger_turn;
-  unsigned beats;
-  bool kicked;
+  GPtrArray *seeds; /* addresses from the settings and the platform's list, each once */
+  unsigned next_seed;
+  unsigned heartbeats;
+  bool triggered;
   bool stopping;
 };
 
@@ -77,7 +77,7 @@
 };
 
 static void
-push (struct mt_peers *peers, enum task_kind kind, char *address)
+queue_task (struct mt_peers *peers, enum task_kind kind, char *address)
 {
   struct task *task = g_new0 (struct task, 1);
 
@@ -97,7 +97,7 @@
 
 /* The lock is held. */
 static const char *
-name_at (struct mt_peers *peers, const char *address)
+find_name_at (struct mt_peers *peers, const char *address)
 {
   const char *pair[2] = { address, NULL };
 
@@ -106,36 +106,39 @@
 }
 
 static void
-exchange (struct mt_peers *peers, const char *address, enum mt_peer_type type, int64_t budget_us)
+exchange_heartbeat (struct mt_peers *peers,
+                    const char *address,
+                    enum mt_peer_type type,
+                    int64_t timeout_us)
 {
   g_autofree char *from = NULL;
   char *reply = NULL;
   size_t reply_len = 0;
-  size_t ask_len;
-  char *ask;
+  size_t request_len;
+  char *request;
   bool ok;
 
   g_mutex_lock (&peers->lock);
-  ask = mt_membership_make_request (peers->membership, &ask_len);
+  request = mt_membership_make_request (peers->membership, &request_len);
   g_mutex_unlock (&peers->lock);
-  ok = mt_peer_client_call (peers->client, address, type, (struct mt_str){ ask, ask_len },
-                            mt_clock_now (peers->clock) + budget_us, &reply, &reply_len, NULL);
+  ok = mt_peer_client_call (peers->client, address, type, (struct mt_str){ request, request_len },
+                            mt_clock_now (peers->clock) + timeout_us, &reply, &reply_len, NULL);
   g_mutex_lock (&peers->lock);
   if (ok)
     ok = mt_membership_handle_response (peers->membership, (struct mt_str){ reply, reply_len },
                                         &from, NULL);
   if (!ok)
-    from = g_strdup (name_at (peers, address));
+    from = g_strdup (find_name_at (peers, address));
   if (from != NULL)
     mt_membership_record_call (peers->membership, from, ok);
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
   free (reply);
-  free (ask);
+  free (request);
 }
 
 static void
-fetch (struct mt_peers *peers, struct mt_document_fetch *fetch)
+fetch_document (struct mt_peers *peers, struct mt_document_fetch *fetch)
 {
   const struct mt_document *document = fetch->document;
   g_autoptr (GError) error = NULL;
@@ -143,7 +146,7 @@
   size_t len;
 
   if (mt_peer_client_call (peers->client, fetch->address, document->type, MT_STR (""),
-                           mt_clock_now (peers->clock) + FETCH_US, &reply, &len, &error)
+                           mt_clock_now (peers->clock) + FETCH_TIMEOUT_US, &reply, &len, &error)
       && len > 0 && document->offer (fetch->ctx, (struct mt_str){ reply, len }, &error))
     mt_log_event (MT_EVENT_DOCUMENT_FROM_PEER, "document=%s version=%" G_GUINT64_FORMAT " from=%s",
                   document->name, document->version (fetch->ctx), fetch->address);
@@ -153,34 +156,35 @@
   free (reply);
   g_mutex_lock (&peers->lock);
   mt_documents_finish_fetch (peers->documents, fetch);
-  peers->kicked = true;
+  peers->triggered = true;
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
   g_free (fetch->address);
 }
 
 static void
-work (gpointer data, gpointer ctx)
+run_task (gpointer data, gpointer ctx)
 {
   struct task *task = data;
 
   switch (task->kind)
     {
     case TASK_EXCHANGE:
-      exchange (ctx, task->address, MT_PEER_HEARTBEAT, EXCHANGE_US);
+      exchange_heartbeat (ctx, task->address, MT_PEER_HEARTBEAT, HEARTBEAT_TIMEOUT_US);
       break;
     case TASK_LEAVE:
-      exchange (ctx, task->address, MT_PEER_LEAVING, LEAVE_US);
+      exchange_heartbeat (ctx, task->address, MT_PEER_LEAVING, LEAVE_TIMEOUT_US);
       break;
     case TASK_FETCH:
-      fetch (ctx, &task->fetch);
+      fetch_document (ctx, &task->fetch);
       break;
     }
   g_free (task->address);
   g_free (task);
 }
 
-/* Serves heartbeats and leaving alike: both tell, and are answered by what is newer here. */
+/* Handles heartbeats and leave notices alike: both carry membership data, and the reply has what is
+ * newer here. */
 static char *
 serve_heartbeat (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
 {
@@ -236,7 +240,7 @@
   peers->zone = g_strdup (settings->zone.data);
   peers->client = mt_peer_client_create (options->clock, settings->name.data);
   peers->documents = mt_documents_create (options->clock);
-  peers->strangers = g_ptr_array_new_with_free_func (g_free);
+  peers->seeds = g_ptr_array_new_with_free_func (g_free);
   g_mutex_init (&peers->lock);
   g_cond_init (&peers->wake);
   membership.name = settings->name.data;
@@ -264,37 +268,38 @@
   peers->served = g_slist_prepend (peers->served, served);
 }
 
-/* An address at which no known member is, in turn; the lock is held. With nobody known each
- * heartbeat tries one, later now and then, so that two halves of a healed cut find each other. */
+/* Returns the next seed address at which there is no known member, or NULL. The lock is held. Each
+ * heartbeat contacts one while no other member is known; later every SEED_INTERVAL-th does, so that
+ * the two sides of a healed partition find each other. */
 static char *
-pick_stranger (struct mt_peers *peers)
+pick_seed (struct mt_peers *peers)
 {
   bool alone = mt_membership_count (peers->membership) == 1;
 
-  if (!alone && peers->beats % STRANGER_EVERY != 0)
+  if (!alone && peers->heartbeats % SEED_INTERVAL != 0)
     return NULL;
-  for (guint tried = 0; tried < peers->strangers->len; tried++)
+  for (guint tried = 0; tried < peers->seeds->len; tried++)
     {
-      const char *address = peers->strangers->pdata[peers->stranger_turn++ % peers->strangers->len];
+      const char *address = peers->seeds->pdata[peers->next_seed++ % peers->seeds->len];
 
-      if (name_at (peers, address) == NULL)
+      if (find_name_at (peers, address) == NULL)
         return g_strdup (address);
     }
   return NULL;
 }
 
 static void
-beat (struct mt_peers *peers)
+send_heartbeat (struct mt_peers *peers)
 {
   char *picked[FAN_OUT];
-  char *stranger;
+  char *seed;
   uint64_t tables;
   uint64_t assign;
   size_t n;
 
-  /* The versions come before the count of what is in flight: a request that starts in between would
-   * otherwise be missing from a version that the planner takes as confirmed, and its minion be
-   * rebooted under it. */
+  /* Reads the versions before the requests in flight are counted. Otherwise a request that starts
+   * in between would be missing from the loads of a version that the planner takes as confirmed,
+   * and its minion would be rebooted while the request runs. */
   g_mutex_lock (&peers->lock);
   tables = mt_documents_version (peers->documents, MT_PEER_TABLES);
   assign = mt_documents_version (peers->documents, MT_PEER_ASSIGN);
@@ -302,21 +307,22 @@
   if (peers->callbacks != NULL)
     peers->callbacks->report (peers->ctx, peers);
   g_mutex_lock (&peers->lock);
-  peers->beats++;
+  peers->heartbeats++;
   mt_membership_set_versions (peers->membership, tables, assign);
   mt_membership_heartbeat (peers->membership);
   n = mt_membership_pick_peers (peers->membership, picked, FAN_OUT);
-  stranger = pick_stranger (peers);
+  seed = pick_seed (peers);
   g_mutex_unlock (&peers->lock);
   for (size_t i = 0; i < n; i++)
-    push (peers, TASK_EXCHANGE, picked[i]);
-  if (stranger != NULL)
-    push (peers, TASK_EXCHANGE, stranger);
+    queue_task (peers, TASK_EXCHANGE, picked[i]);
+  if (seed != NULL)
+    queue_task (peers, TASK_EXCHANGE, seed);
   if (peers->callbacks != NULL)
     peers->callbacks->after_heartbeat (peers->ctx, peers);
 }
 
-/* Starts what fetches are due; *due_us is lowered to the next. The lock is held. */
+/* Starts the fetches that are due, and lowers *due_us to the time of the next one. The lock is
+ * held. */
 static void
 start_fetches (struct mt_peers *peers, int64_t *due_us)
 {
@@ -333,35 +339,36 @@
 }
 
 static gpointer
-run (gpointer data)
+run_heartbeats (gpointer data)
 {
   struct mt_peers *peers = data;
-  int64_t beat_us = mt_clock_now (peers->clock);
-  int64_t beaten_us = 0;
+  int64_t next_heartbeat_us = mt_clock_now (peers->clock);
+  int64_t last_heartbeat_us = 0;
 
   g_mutex_lock (&peers->lock);
   while (!peers->stopping)
     {
-      int64_t due_us = beat_us;
+      int64_t due_us = next_heartbeat_us;
       int64_t now;
 
       start_fetches (peers, &due_us);
-      if (peers->kicked)
-        due_us = MIN (due_us, beaten_us + KICK_EVERY_US);
+      if (peers->triggered)
+        due_us = MIN (due_us, last_heartbeat_us + MIN_TRIGGER_INTERVAL_US);
       now = mt_clock_now (peers->clock);
       if (due_us > now)
         {
           g_cond_wait_until (&peers->wake, &peers->lock, g_get_monotonic_time () + due_us - now);
           continue;
         }
-      if (now < beat_us && !(peers->kicked && now >= beaten_us + KICK_EVERY_US))
+      if (now < next_heartbeat_us
+          && !(peers->triggered && now >= last_heartbeat_us + MIN_TRIGGER_INTERVAL_US))
         continue;
-      peers->kicked = false;
-      beaten_us = now;
-      if (now >= beat_us)
-        beat_us = now + MT_MEMBERSHIP_HEARTBEAT_US;
+      peers->triggered = false;
+      last_heartbeat_us = now;
+      if (now >= next_heartbeat_us)
+        next_heartbeat_us = now + MT_MEMBERSHIP_HEARTBEAT_US;
       g_mutex_unlock (&peers->lock);
-      beat (peers);
+      send_heartbeat (peers);
       g_mutex_lock (&peers->lock);
     }
   g_mutex_unlock (&peers->lock);
@@ -371,14 +378,14 @@
 void
 mt_peers_start (struct mt_peers *peers)
 {
-  peers->workers = g_thread_pool_new (work, peers, THREADS, FALSE, NULL);
-  peers->thread = g_thread_new ("peers", run, peers);
+  peers->workers = g_thread_pool_new (run_task, peers, THREADS, FALSE, NULL);
+  peers->thread = g_thread_new ("peers", run_heartbeats, peers);
 }
 
 static void
 collect_address (void *ctx, const struct mt_member *member)
 {
-  /* A stop must not wait for those who can't be called; they hear of it from others. */
+  /* A stop must not wait for unreachable members; they learn of it from others. */
   if (member->reach != MT_REACH_NO)
     g_ptr_array_add (ctx, g_strdup (member->address));
 }
@@ -392,16 +399,16 @@
   mt_membership_set_leaving (peers->membership);
   mt_membership_heartbeat (peers->membership);
   mt_membership_each (peers->membership, collect_address, addresses);
-  /* Who was asked for the first time a moment ago knows of this daemon before this one has the
-   * answer, and would otherwise take it for alive until it is silent. */
-  for (guint i = 0; i < MIN (peers->strangers->len, LEAVE_STRANGERS); i++)
-    if (!g_ptr_array_find_with_equal_func (addresses, peers->strangers->pdata[i], g_str_equal,
-                                           NULL))
-      g_ptr_array_add (addresses, g_strdup (peers->strangers->pdata[i]));
+  /* Seed addresses are notified too. A daemon that was contacted for the first time a moment ago
+   * knows this daemon before its reply arrives here; without the notice it would consider this
+   * daemon alive until its heartbeats are overdue. */
+  for (guint i = 0; i < MIN (peers->seeds->len, MAX_LEAVE_SEEDS); i++)
+    if (!g_ptr_array_find_with_equal_func (addresses, peers->seeds->pdata[i], g_str_equal, NULL))
+      g_ptr_array_add (addresses, g_strdup (peers->seeds->pdata[i]));
   g_mutex_unlock (&peers->lock);
   for (guint i = 0; i < addresses->len; i++)
     if (strcmp (addresses->pdata[i], peers->address) != 0)
-      push (peers, TASK_LEAVE, g_strdup (addresses->pdata[i]));
+      queue_task (peers, TASK_LEAVE, g_strdup (addresses->pdata[i]));
 }
 
 void
@@ -421,7 +428,7 @@
   mt_peer_client_destroy (peers->client);
   mt_documents_destroy (peers->documents);
   mt_membership_destroy (peers->membership);
-  g_ptr_array_unref (peers->strangers);
+  g_ptr_array_unref (peers->seeds);
   g_slist_free_full (peers->served, g_free);
   g_mutex_clear (&peers->lock);
   g_cond_clear (&peers->wake);
@@ -436,7 +443,7 @@
   struct mt_peers *peers = ctx;
 
   g_mutex_lock (&peers->lock);
-  peers->kicked = true;
+  peers->triggered = true;
   g_cond_signal (&peers->wake);
   g_mutex_unlock (&peers->lock);
 }
@@ -458,9 +465,9 @@
 {
   g_mutex_lock (&peers->lock);
   for (size_t i = 0; i < n; i++)
-    if (peers->strangers->len < MAX_STRANGERS && strcmp (addresses[i], peers->address) != 0
-        && !g_ptr_array_find_with_equal_func (peers->strangers, addresses[i], g_str_equal, NULL))
-      g_ptr_array_add (peers->strangers, g_strdup (addresses[i]));
+    if (peers->seeds->len < MAX_SEEDS && strcmp (addresses[i], peers->address) != 0
+        && !g_ptr_array_find_with_equal_func (peers->seeds, addresses[i], g_str_equal, NULL))
+      g_ptr_array_add (peers->seeds, g_strdup (addresses[i]));
   g_mutex_unlock (&peers->lock);
 }
 
@@ -521,7 +528,7 @@
 }
 
 static void
-count_visit (void *ctx, const struct mt_member *member)
+count_member (void *ctx, const struct mt_member *member)
 {
   ++*(unsigned *) ctx;
 }
@@ -531,7 +538,7 @@
 {
   unsigned n = 0;
 
-  mt_peers_each_alive (peers, peers->zone, count_visit, &n);
+  mt_peers_each_alive (peers, peers->zone, count_member, &n);
   return n;
 }
 
--- a/daemon/pools.c
+++ b/daemon/pools.c
@@ -6,7 +6,8 @@
 {
   GMutex lock; /* guards dispatch and all slots of the pool */
   struct mt_dispatch *dispatch;
-  GHashTable *epochs; /* minion -> guint64: of the record that gave it to the pool; same lock */
+  GHashTable
+      *epochs; /* minion -> guint64, epoch of the record that gave it to the pool; same lock */
 };
 
 struct mt_pools
@@ -114,7 +115,7 @@
 }
 
 static struct pool *
-make_pool (struct mt_pools *pools, const char *name)
+get_or_create_pool (struct mt_pools *pools, const char *name)
 {
   struct pool *pool = find_pool (pools, name);
 
@@ -131,13 +132,13 @@
   return pool;
 }
 
-/* Entries of minions that are gone stay: a slot granted before may still ask. */
+/* Keeps the entries of minions that are gone: a slot granted earlier may still need its epoch. */
 static void
-note_epochs (struct pool *pool, const GPtrArray *mine, const struct mt_assign *assign)
+record_epochs (struct pool *pool, const GPtrArray *serving, const struct mt_assign *assign)
 {
-  for (guint i = 0; i < mine->len; i++)
+  for (guint i = 0; i < serving->len; i++)
     {
-      const struct mt_instance *instance = mine->pdata[i];
+      const struct mt_instance *instance = serving->pdata[i];
       const struct mt_assign_record *record = mt_assign_find (assign, instance->name.data);
 
       g_hash_table_replace (pool->epochs, g_strdup (instance->name.data),
@@ -145,8 +146,8 @@
     }
 }
 
-/* An instance has work by its record alone. Its row in the tables tells only where it is; which
- * pool it serves by now, and whether it may serve at all, the tables don't know. */
+/* Whether an instance serves the pool depends on its assignment record alone. Its row in the tables
+ * only says where the instance is, not which pool it serves now or whether it may serve at all. */
 static void
 refresh_pool (struct mt_pools *pools,
               struct pool *pool,
@@ -154,21 +155,23 @@
               const struct mt_tables *tables,
               const struct mt_assign *assign)
 {
-  g_autoptr (GPtrArray) mine = g_ptr_array_new ();
+  g_autoptr (GPtrArray) serving = g_ptr_array_new ();
 
   for (size_t p = 0; p < tables->n_pools; p++)
     for (size_t i = 0; i < tables->pools[p].n_instances; i++)
       {
         const struct mt_instance *instance = &tables->pools[p].instances[i];
 
-        /* Each data centre serves from its own minions; a cut between them then cuts no request. */
+        /* Each data centre serves from its own minions, so that a partition between data centres
+         * interrupts no request. */
         if (mt_str_equal (instance->zone, mt_str_from (pools->zone))
             && mt_assign_serves (assign, instance->name.data, name))
-          g_ptr_array_add (mine, (gpointer) instance);
+          g_ptr_array_add (serving, (gpointer) instance);
       }
   g_mutex_lock (&pool->lock);
-  note_epochs (pool, mine, assign);
-  mt_dispatch_update (pool->dispatch, (const struct mt_instance *const *) mine->pdata, mine->len);
+  record_epochs (pool, serving, assign);
+  mt_dispatch_update (pool->dispatch, (const struct mt_instance *const *) serving->pdata,
+                      serving->len);
   g_mutex_unlock (&pool->lock);
 }
 
@@ -182,7 +185,7 @@
   gpointer pool;
 
   for (size_t i = 0; tables != NULL && i < tables->n_pools; i++)
-    make_pool (pools, tables->pools[i].name.data);
+    get_or_create_pool (pools, tables->pools[i].name.data);
   g_rw_lock_reader_lock (&pools->lock);
   g_hash_table_iter_init (&iter, pools->by_name);
   while (tables != NULL && g_hash_table_iter_next (&iter, &name, &pool))
@@ -204,17 +207,18 @@
 {
   while (slot->state == SLOT_WAITING)
     {
-      int64_t left = mt_dispatch_next_tick_us (slot->pool->dispatch, &slot->ticket)
-                     - mt_clock_now (pools->clock);
+      int64_t remaining_us = mt_dispatch_next_tick_us (slot->pool->dispatch, &slot->ticket)
+                             - mt_clock_now (pools->clock);
 
-      if (left <= 0
-          || !g_cond_wait_until (&slot->changed, &slot->pool->lock, g_get_monotonic_time () + left))
+      if (remaining_us <= 0
+          || !g_cond_wait_until (&slot->changed, &slot->pool->lock,
+                                 g_get_monotonic_time () + remaining_us))
         mt_dispatch_tick (slot->pool->dispatch);
     }
 }
 
 static enum mt_slot_result
-describe_refusal (enum mt_refusal refusal)
+to_slot_result (enum mt_refusal refusal)
 {
   switch (refusal)
     {
@@ -254,18 +258,18 @@
   struct pool *pool = find_pool (pools, request->pool);
   struct mt_slot *slot;
   enum mt_slot_result result = MT_SLOT_GRANTED;
-  enum mt_dispatch_admission admit;
+  enum mt_dispatch_admission admission;
 
   if (pool == NULL)
     return MT_SLOT_NO_POOL;
   slot = make_slot (pool, request);
   g_mutex_lock (&pool->lock);
-  admit = mt_dispatch_submit (pool->dispatch, &slot->ticket, request->queue_limit);
-  slot->waited = admit == MT_ADMISSION_QUEUED;
+  admission = mt_dispatch_submit (pool->dispatch, &slot->ticket, request->queue_limit);
+  slot->waited = admission == MT_ADMISSION_QUEUED;
   if (slot->waited)
     wait_for_grant (pools, slot);
-  if (admit == MT_ADMISSION_REFUSED || slot->state == SLOT_EXPIRED)
-    result = describe_refusal (slot->ticket.refusal);
+  if (admission == MT_ADMISSION_REFUSED || slot->state == SLOT_EXPIRED)
+    result = to_slot_result (slot->ticket.refusal);
   g_mutex_unlock (&pool->lock);
   if (result == MT_SLOT_GRANTED)
     *out = slot;
--- a/daemon/pools.h
+++ b/daemon/pools.h
@@ -1,4 +1,4 @@
-/* The pools at run time: one dispatch each, with the lock that guards it and the threads that wait
+/* The pools at run time: each has a dispatcher, the lock that guards it, and the threads that wait
  * in its queue. Any thread may call. */
 #ifndef MT_POOLS_H
 #define MT_POOLS_H
@@ -15,7 +15,7 @@
 struct mt_pools *
 mt_pools_create (const struct mt_clock *clock, struct mt_view_holder *views, const char *zone);
 void mt_pools_destroy (struct mt_pools *pools);
-/* Brings the dispatches up to the view in force; registered as a view listener. */
+/* Updates the dispatchers from the view in force. A view listener; ctx is the mt_pools. */
 void mt_pools_refresh (void *ctx);
 
 struct mt_slot_request
@@ -25,7 +25,7 @@
   int64_t deadline_us;
   unsigned queue_limit;
   const char *avoid;
-  bool is_retry; /* a retry */
+  bool is_retry;
 };
 
 enum mt_slot_result
@@ -38,37 +38,39 @@
   MT_SLOT_RETRY_BUDGET,
 };
 
-/* Waits for a slot in the pool, until the dispatch gives up at most. */
+/* Waits until the dispatcher grants a slot in the pool, which sets *out, or refuses it. */
 enum mt_slot_result mt_pools_acquire_slot (struct mt_pools *pools,
                                            const struct mt_slot_request *request,
                                            struct mt_slot **out);
-/* Valid until the slot is given back. */
+/* Valid until the slot is released. */
 const char *mt_slot_minion (const struct mt_slot *slot);
 const char *mt_slot_address (const struct mt_slot *slot);
-/* Of the record by which the minion serves the pool. */
+/* Epoch of the assignment record by which the minion serves the pool. */
 uint64_t mt_slot_epoch (const struct mt_slot *slot);
-/* Most connections that this daemon may hold to the minion. */
+/* Maximum number of connections that this daemon may hold to the minion. */
 unsigned mt_slot_max_connections (const struct mt_slot *slot);
-/* It was not granted at once. */
+/* Whether the slot was not granted at once. */
 bool mt_slot_has_waited (const struct mt_slot *slot);
-/* The minion itself said that it leaves. */
+/* Marks the slot's minion as leaving; to be called when the minion itself reports that it leaves.
+ */
 void mt_slot_set_leaving (struct mt_slot *slot);
-/* Gives it back and frees it. */
+/* Returns the slot to the pool and frees it. */
 void mt_slot_release (struct mt_slot *slot, enum mt_dispatch_result result);
 
-/* How long the pool's queue would take now; 0 for an unknown pool. */
+/* Estimated time to serve the pool's current queue, in us; 0 for an unknown pool. */
 int64_t mt_pools_backlog_us (struct mt_pools *pools, const char *name);
 
-/* Takes this daemon's place among the others, and what they have in flight. */
+/* Sets this daemon's share and the requests that the other daemons have in flight. The pools use
+ * shares until the next call. */
 void mt_pools_set_shares (struct mt_pools *pools, struct mt_shares *shares);
 
-/* Whether the minion said that it leaves; told back with mt_pools_rejoin, once the control part
- * knows that it has come back. */
+/* Whether the minion reported that it leaves. mt_pools_rejoin resets this, once the control part
+ * knows that the minion is back. */
 bool mt_pools_is_leaving (struct mt_pools *pools, const char *name, const char *minion);
 void mt_pools_rejoin (struct mt_pools *pools, const char *name, const char *minion);
 
-/* Waiting and in flight in each pool and on each minion, for the heartbeat. Visitors must not call
- * back. */
+/* Visits each pool with its requests waiting and in flight, and each minion with its requests in
+ * flight, for the heartbeat. Visitors must not call the pools. */
 struct mt_pools_visitor
 {
   void (*pool) (void *ctx, const char *pool, unsigned waiting, unsigned in_flight);
--- a/daemon/proxied.c
+++ b/daemon/proxied.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define MAX_NAME    200 /* bytes, as in the settings */
-#define MAX_PROXIED 256
+#define MAX_NAME_BYTES 200 /* as in the settings */
+#define MAX_PROXIED    256
 
 struct mt_proxied
 {
@@ -37,27 +37,27 @@
 }
 
 static bool
-is_name (struct mt_str name)
+is_daemon_name (struct mt_str name)
 {
   for (size_t i = 0; i < name.len; i++)
     if (!g_ascii_isalnum (name.data[i]) && strchr ("._-", name.data[i]) == NULL)
       return false;
-  return name.len > 0 && name.len <= MAX_NAME;
+  return name.len > 0 && name.len <= MAX_NAME_BYTES;
 }
 
 bool
 mt_proxied_add (struct mt_proxied *proxied, struct mt_str name)
 {
-  bool noted;
+  bool added;
 
-  if (!is_name (name))
+  if (!is_daemon_name (name))
     return false;
   g_mutex_lock (&proxied->lock);
-  noted = g_hash_table_size (proxied->missing) < MAX_PROXIED;
-  if (noted)
+  added = g_hash_table_size (proxied->missing) < MAX_PROXIED;
+  if (added)
     g_hash_table_add (proxied->missing, g_strndup (name.data, name.len));
   g_mutex_unlock (&proxied->lock);
-  return noted;
+  return added;
 }
 
 static GPtrArray *
@@ -75,7 +75,7 @@
   return names;
 }
 
-/* Most daemons have written their own: a read costs the platform less than a write. */
+/* Most daemons have written their own key, and a read costs the platform less than a write. */
 static bool
 has_key (const struct mt_store *store, const char *key)
 {
--- a/daemon/proxied.h
+++ b/daemon/proxied.h
@@ -1,7 +1,7 @@
-/* Daemons that got the assignment document from this one. A planner waits for every daemon that may
- * hold a document and learns of them from the keys that they write at the platform; one that is cut
- * off from it can't write its own. Whoever hands it a document writes the key in its place, and
- * until then confirms no drain. Any thread may call. */
+/* Daemons that received the assignment document from this one. A planner waits for every daemon
+ * that may hold a document, and finds them by the keys that they write to the platform. A daemon
+ * that is partitioned from the platform can't write its key. So the daemon that sends it a document
+ * writes the key in its place, and confirms no drain until then. Any thread may call. */
 #ifndef MT_PROXIED_H
 #define MT_PROXIED_H
 
@@ -13,16 +13,17 @@
 
 struct mt_proxied *mt_proxied_create (struct mt_view_holder *views, const char *zone);
 void mt_proxied_destroy (struct mt_proxied *proxied);
-/* Before the document is read that the daemon gets. False, and it must not get it, where its name
- * is no name of a daemon or too many are noted. */
+/* Adds a daemon. Call before reading the document that it is sent. Returns false if it must not get
+ * the document, because its name is no valid name of a daemon or too many keys are missing. */
 bool mt_proxied_add (struct mt_proxied *proxied, struct mt_str name);
-/* Writes the keys that are missing; those that can't be written stay noted. Blocks on the store. */
+/* Writes the missing keys; those that can't be written stay missing. Blocks on the store. */
 void mt_proxied_register (struct mt_proxied *proxied, const struct mt_store *store);
-/* Calls visit with one request in flight for each instance that drains, while a key is missing:
- * what the heartbeat then tells holds the drains up. */
+/* While a key is missing, calls visit with one request in flight for each instance that drains: as
+ * load in the heartbeat this delays the drains. */
 void mt_proxied_each_draining (struct mt_proxied *proxied,
                                void (*visit) (void *ctx, const char *instance, unsigned in_flight),
                                void *ctx);
+/* Number of daemons whose key is missing. */
 unsigned mt_proxied_count (struct mt_proxied *proxied);
 
 #endif
--- a/daemon/registry.c
+++ b/daemon/registry.c
@@ -3,26 +3,27 @@
 #include "address.h"
 #include "medlartrack/error.h"
 
-#define LEASE_S    60
-#define RENEW_US   (20 * MT_SECOND)
-#define LIST_EVERY 3 /* renewals */
-/* After an outage all daemons come back at once; each waits for a different part of this. */
-#define RETRY_US  (5 * MT_SECOND)
-#define JITTER_US (5 * MT_SECOND)
+#define LEASE_S           60
+#define RENEW_INTERVAL_US (20 * MT_SECOND)
+#define RENEWALS_PER_LIST 3 /* renewals per read of the list */
+/* Delay after a failed call, plus a random part of the jitter, so that the daemons don't all return
+ * at once after an outage. */
+#define RETRY_DELAY_US  (5 * MT_SECOND)
+#define RETRY_JITTER_US (5 * MT_SECOND)
 
 struct mt_registry
 {
   const struct mt_store *store;
   const struct mt_clock *clock;
   struct mt_peers *peers;
-  char *prefix; /* of this daemon's keys; ends in '/' lest NAME also mean NAME2 */
+  char *prefix; /* of this daemon's keys; ends in '/' so that NAME does not match NAME2 */
   char *key;
   GThread *thread;
   GMutex lock;
   GCond wake;
   gint held;     /* atomic */
   bool stopping; /* guarded by lock */
-  /* The thread's own. */
+  /* Accessed by the thread only. */
   char *lease;
   unsigned renewals;
 };
@@ -47,9 +48,10 @@
   return true;
 }
 
-/* A lease that lapsed while this daemon was paused is replaced by a new one. */
+/* Renews the lease, or acquires the entry under a new one if the lease expired while this daemon
+ * was paused. */
 static bool
-hold_entry (struct mt_registry *registry)
+renew_entry (struct mt_registry *registry)
 {
   const struct mt_store_ops *ops = registry->store->ops;
   void *ctx = registry->store->ctx;
@@ -68,20 +70,20 @@
 }
 
 static int64_t
-step (struct mt_registry *registry)
+renew_and_list (struct mt_registry *registry)
 {
-  bool ok = registry->renewals % LIST_EVERY != 0 || list_members (registry);
+  bool ok = registry->renewals % RENEWALS_PER_LIST != 0 || list_members (registry);
 
-  ok = ok && hold_entry (registry);
+  ok = ok && renew_entry (registry);
   g_atomic_int_set (&registry->held, ok);
   if (!ok)
-    return RETRY_US + g_random_int_range (0, JITTER_US);
+    return RETRY_DELAY_US + g_random_int_range (0, RETRY_JITTER_US);
   registry->renewals++;
-  return RENEW_US;
+  return RENEW_INTERVAL_US;
 }
 
 static gpointer
-run (gpointer data)
+run_registry (gpointer data)
 {
   struct mt_registry *registry = data;
 
@@ -91,7 +93,7 @@
       int64_t until;
 
       g_mutex_unlock (&registry->lock);
-      until = step (registry) + g_get_monotonic_time ();
+      until = renew_and_list (registry) + g_get_monotonic_time ();
       g_mutex_lock (&registry->lock);
       while (!registry->stopping && g_cond_wait_until (&registry->wake, &registry->lock, until))
         ;
@@ -115,7 +117,7 @@
   registry->key = g_strconcat (registry->prefix, "address", NULL);
   g_mutex_init (&registry->lock);
   g_cond_init (&registry->wake);
-  registry->thread = g_thread_new ("registry", run, registry);
+  registry->thread = g_thread_new ("registry", run_registry, registry);
   return registry;
 }
 
--- a/daemon/registry.h
+++ b/daemon/registry.h
@@ -1,6 +1,6 @@
-/* This daemon's entry in the platform's service, under a lease, and the others' entries read from
- * there: how daemons find each other when they share no address in their settings. One thread;
- * about four calls a minute. */
+/* Keeps this daemon's entry in the platform's service under a lease, and reads the entries of the
+ * others. So daemons find each other that share no address in their settings. One thread; about
+ * four calls a minute. */
 #ifndef MT_REGISTRY_H
 #define MT_REGISTRY_H
 
@@ -18,7 +18,7 @@
                                         const char *name);
 /* Whether the entry is held under a lease, as far as this daemon knows. Any thread. */
 bool mt_registry_is_held (const struct mt_registry *registry);
-/* Takes the entry out where the platform answers. */
+/* Removes the entry if the platform answers. */
 void mt_registry_destroy (struct mt_registry *registry);
 
 #endif
--- a/daemon/view.c
+++ b/daemon/view.c
@@ -17,13 +17,13 @@
   const struct mt_clock *clock;
   struct listener listeners[MAX_LISTENERS]; /* written before threads start */
   unsigned n_listeners;
-  struct listener after[MAX_LISTENERS]; /* likewise */
-  unsigned n_after;
-  GMutex lock;              /* between writers */
+  struct listener after_listeners[MAX_LISTENERS]; /* written before threads start */
+  unsigned n_after_listeners;
+  GMutex lock;              /* serialises writers */
   struct mt_tables *tables; /* written under lock, read under urcu */
-  struct mt_assign *assign; /* likewise */
-  GMutex telling;           /* one listener's call at a time */
-  guint64 in_force;         /* atomic: document that all listeners have taken */
+  struct mt_assign *assign; /* written under lock, read under urcu */
+  GMutex notify_lock;       /* serialises the calls of listeners */
+  guint64 in_force;         /* atomic: version of the document that all listeners have applied */
   gint64 confirmed_us;      /* atomic */
 };
 
@@ -34,7 +34,7 @@
 
   holder->clock = clock;
   g_mutex_init (&holder->lock);
-  g_mutex_init (&holder->telling);
+  g_mutex_init (&holder->notify_lock);
   return holder;
 }
 
@@ -46,7 +46,7 @@
   mt_tables_destroy (holder->tables);
   mt_assign_destroy (holder->assign);
   g_mutex_clear (&holder->lock);
-  g_mutex_clear (&holder->telling);
+  g_mutex_clear (&holder->notify_lock);
   g_free (holder);
 }
 
@@ -60,8 +60,8 @@
 void
 mt_view_add_after_listener (struct mt_view_holder *holder, mt_view_listener listener, void *ctx)
 {
-  g_assert (holder->n_after < MAX_LISTENERS);
-  holder->after[holder->n_after++] = (struct listener){ listener, ctx };
+  g_assert (holder->n_after_listeners < MAX_LISTENERS);
+  holder->after_listeners[holder->n_after_listeners++] = (struct listener){ listener, ctx };
 }
 
 void
@@ -70,15 +70,15 @@
   __atomic_store_n (&holder->confirmed_us, mt_clock_now (holder->clock), __ATOMIC_RELAXED);
 }
 
-/* Without the lock a listener that read the older view could finish after the one that read the
- * newer, and put the older one in force again. */
+/* Calls the listeners. Without notify_lock a listener that read an older view could finish after
+ * one that read the newer view, and put the older one in force again. */
 static void
-tell (struct mt_view_holder *holder)
+notify_listeners (struct mt_view_holder *holder)
 {
   const struct mt_assign *assign;
   uint64_t version;
 
-  g_mutex_lock (&holder->telling);
+  g_mutex_lock (&holder->notify_lock);
   mt_view_begin (holder);
   assign = mt_view_assign (holder);
   version = assign != NULL ? assign->version : 0;
@@ -86,9 +86,9 @@
   for (unsigned i = 0; i < holder->n_listeners; i++)
     holder->listeners[i].call (holder->listeners[i].ctx);
   __atomic_store_n (&holder->in_force, version, __ATOMIC_SEQ_CST);
-  for (unsigned i = 0; i < holder->n_after; i++)
-    holder->after[i].call (holder->after[i].ctx);
-  g_mutex_unlock (&holder->telling);
+  for (unsigned i = 0; i < holder->n_after_listeners; i++)
+    holder->after_listeners[i].call (holder->after_listeners[i].ctx);
+  g_mutex_unlock (&holder->notify_lock);
 }
 
 bool
@@ -111,7 +111,7 @@
   mt_log_event (MT_EVENT_TABLES_IN_FORCE, "version=%" G_GUINT64_FORMAT " id=%s", tables->version,
                 tables->id.data);
   mt_tables_destroy (old);
-  tell (holder);
+  notify_listeners (holder);
   return true;
 }
 
@@ -132,7 +132,7 @@
   g_mutex_unlock (&holder->lock);
   synchronize_rcu ();
   mt_assign_destroy (old);
-  tell (holder);
+  notify_listeners (holder);
   return true;
 }
 
