--- a/daemon/daemon.c
+++ b/daemon/daemon.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REQUEST_MEMORY_BASE (256 * 1024)
+#define REQUEST_MEMORY_BASE_BYTES (256 * 1024)
 
 struct mt_daemon
 {
@@ -28,7 +28,7 @@
   struct mt_claims *claims;
   struct mt_view_holder *views;
   struct mt_proxied *proxied;
-  struct mt_assign_source assign; /* that peers are served from */
+  struct mt_assign_source assign; /* source of the document for peers */
   struct mt_pools *pools;
   struct mt_peer_server *peer_server;
   struct mt_heartbeat *heartbeat;
@@ -36,7 +36,7 @@
   struct mt_registry *registry;
   struct mt_feed *feed;
   struct mt_control *control;
-  struct mt_jobs_part *jobs; /* NULL: places none */
+  struct mt_jobs_part *jobs; /* NULL: this daemon places no jobs */
   struct mt_front *front;
   struct mt_http_server *server;
 };
@@ -46,7 +46,7 @@
 {
   const struct mt_settings_limits *limits = &settings->limits;
 
-  return (size_t) limits->answer_bytes * 2 + limits->body_bytes + REQUEST_MEMORY_BASE;
+  return (size_t) limits->answer_bytes * 2 + limits->body_bytes + REQUEST_MEMORY_BASE_BYTES;
 }
 
 static char *
@@ -69,12 +69,12 @@
   options.callbacks = mt_heartbeat_callbacks ();
   options.ctx = daemon->heartbeat;
   daemon->peers = mt_peers_create (&options);
-  mt_peers_carry (daemon->peers, mt_document_tables (), daemon->views);
+  mt_peers_add_document (daemon->peers, mt_document_tables (), daemon->views);
   mt_heartbeat_set_proxied (daemon->heartbeat, daemon->proxied);
   daemon->assign = (struct mt_assign_source){ daemon->views, daemon->proxied };
-  mt_peers_carry (daemon->peers, mt_document_assign (), &daemon->assign);
+  mt_peers_add_document (daemon->peers, mt_document_assign (), &daemon->assign);
   mt_peer_server_set_handler (daemon->peer_server, MT_PEER_DUMP, serve_dump, daemon);
-  mt_view_listen_after (daemon->views, mt_peers_kick, daemon->peers);
+  mt_view_add_after_listener (daemon->views, mt_peers_trigger_heartbeat, daemon->peers);
 }
 
 static void
@@ -83,7 +83,7 @@
              void (*visit) (void *visit_ctx, const struct mt_member *member),
              void *visit_ctx)
 {
-  mt_peers_each (ctx, zone, visit, visit_ctx);
+  mt_peers_each_alive (ctx, zone, visit, visit_ctx);
 }
 
 static struct mt_control *
@@ -95,7 +95,7 @@
     .name = settings->name.data,
     .zone = settings->zone.data,
     .platform = settings->platform.data,
-    .call_us = settings->limits.platform_ms * MT_MS,
+    .call_timeout_us = settings->limits.platform_ms * MT_MS,
     .views = daemon->views,
     .pools = daemon->pools,
     .each_member = each_member,
@@ -138,7 +138,7 @@
   daemon->views = mt_view_holder_create (daemon->clock);
   daemon->proxied = mt_proxied_create (daemon->views, settings->zone.data);
   daemon->pools = mt_pools_create (daemon->clock, daemon->views, settings->zone.data);
-  mt_view_listen (daemon->views, mt_pools_refresh, daemon->pools);
+  mt_view_add_listener (daemon->views, mt_pools_refresh, daemon->pools);
   create_peers (daemon);
   claims.breaker = mt_platform_breaker (daemon->platform);
   claims.peers = daemon->peers;
@@ -146,7 +146,7 @@
   daemon->claims = mt_claims_create (&claims);
   mt_peer_server_set_handler (daemon->peer_server, MT_PEER_CLAIM, mt_claims_serve, daemon->claims);
   feed.platform = settings->platform.data;
-  feed.call_us = settings->limits.platform_ms * MT_MS;
+  feed.call_timeout_us = settings->limits.platform_ms * MT_MS;
   feed.views = daemon->views;
   daemon->control = create_control (daemon);
   daemon->jobs = create_jobs (daemon);
@@ -161,7 +161,7 @@
   daemon->front = mt_front_create (&front);
 }
 
-/* Others may call this daemon only once every part is there. */
+/* Other daemons may call this one only once all its parts exist. */
 static void
 start_peers (struct mt_daemon *daemon)
 {
@@ -215,7 +215,7 @@
       mt_http_server_stop (daemon->server, daemon->settings->limits.stop_linger_ms * MT_MS);
     }
   mt_http_server_destroy (daemon->server);
-  /* Exchanges that were given up on still hold slots of the pools. */
+  /* Abandoned exchanges still hold slots of the pools, so they are destroyed first. */
   mt_http_exchanges_destroy (daemon->exchanges);
   mt_registry_destroy (daemon->registry);
   mt_feed_destroy (daemon->feed);
