--- a/bench/histogram.c
+++ b/bench/histogram.c
@@ -11,10 +11,10 @@
   unsigned shift;
   unsigned i;
 
-  if (v < MT_HISTOGRAM_SUB)
+  if (v < MT_HISTOGRAM_SUB_BUCKETS)
     return (unsigned) v;
   shift = 63U - (unsigned) __builtin_clzll (v) - SUB_BITS;
-  i = (shift + 1) * MT_HISTOGRAM_SUB + (unsigned) ((v >> shift) - MT_HISTOGRAM_SUB);
+  i = (shift + 1) * MT_HISTOGRAM_SUB_BUCKETS + (unsigned) ((v >> shift) - MT_HISTOGRAM_SUB_BUCKETS);
   return i < MT_HISTOGRAM_BUCKETS ? i : MT_HISTOGRAM_BUCKETS - 1;
 }
 
@@ -23,10 +23,11 @@
 {
   unsigned shift;
 
-  if (bucket < MT_HISTOGRAM_SUB)
+  if (bucket < MT_HISTOGRAM_SUB_BUCKETS)
     return bucket;
-  shift = bucket / MT_HISTOGRAM_SUB - 1;
-  return ((int64_t) (bucket % MT_HISTOGRAM_SUB + MT_HISTOGRAM_SUB + 1) << shift) - 1;
+  shift = bucket / MT_HISTOGRAM_SUB_BUCKETS - 1;
+  return ((int64_t) (bucket % MT_HISTOGRAM_SUB_BUCKETS + MT_HISTOGRAM_SUB_BUCKETS + 1) << shift)
+         - 1;
 }
 
 void
@@ -34,8 +35,8 @@
 {
   histogram->counts[find_bucket (value)]++;
   histogram->n++;
-  if (value > histogram->most)
-    histogram->most = value;
+  if (value > histogram->max)
+    histogram->max = value;
 }
 
 void
@@ -44,8 +45,8 @@
   for (unsigned i = 0; i < MT_HISTOGRAM_BUCKETS; i++)
     histogram->counts[i] += other->counts[i];
   histogram->n += other->n;
-  if (other->most > histogram->most)
-    histogram->most = other->most;
+  if (other->max > histogram->max)
+    histogram->max = other->max;
 }
 
 int64_t
@@ -58,7 +59,7 @@
     {
       seen += histogram->counts[i];
       if (seen >= wanted && seen > 0)
-        return upper_bound (i) < histogram->most ? upper_bound (i) : histogram->most;
+        return upper_bound (i) < histogram->max ? upper_bound (i) : histogram->max;
     }
   return 0;
 }
--- a/bench/histogram.h
+++ b/bench/histogram.h
@@ -5,14 +5,14 @@
 
 #include <stdint.h>
 
-#define MT_HISTOGRAM_SUB     64 /* buckets for each doubling */
-#define MT_HISTOGRAM_BUCKETS (32 * MT_HISTOGRAM_SUB)
+#define MT_HISTOGRAM_SUB_BUCKETS 64 /* buckets for each doubling */
+#define MT_HISTOGRAM_BUCKETS     (32 * MT_HISTOGRAM_SUB_BUCKETS)
 
 struct mt_histogram
 {
   uint64_t counts[MT_HISTOGRAM_BUCKETS];
   uint64_t n;
-  int64_t most;
+  int64_t max;
 };
 
 void mt_histogram_add (struct mt_histogram *histogram, int64_t value);
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -240,7 +240,7 @@
                     "whole_a_second", (double) sum->counts[WHOLE] / seconds, "p50_us",
                     (json_int_t) mt_histogram_quantile (&sum->latencies, 0.5), "p99_us",
                     (json_int_t) mt_histogram_quantile (&sum->latencies, 0.99), "most_us",
-                    (json_int_t) sum->latencies.most, "outcomes", outcomes, "processes", processes);
+                    (json_int_t) sum->latencies.max, "outcomes", outcomes, "processes", processes);
   json_dumpf (root, stdout, JSON_INDENT (0) | JSON_REAL_PRECISION (6));
   json_decref (root);
   printf ("\n");
--- a/tests/config/test_acceptance.c
+++ b/tests/config/test_acceptance.c
@@ -85,9 +85,9 @@
 
   if (before != NULL)
     fake_store_force (fixture.fake, MT_TABLES_KEY, before);
-  fake_store_before_call (fixture.fake, before_call, &fixture);
+  fake_store_set_call_hook (fixture.fake, before_call, &fixture);
   assert_int_equal (mt_acceptance_repair (store, held, NULL), result);
-  fake_store_before_call (fixture.fake, NULL, NULL);
+  fake_store_set_call_hook (fixture.fake, NULL, NULL);
   assert_true (store->ops->get (store->ctx, MT_TABLES_KEY, &value, NULL));
   assert_non_null (strstr (value.data, after));
   mt_store_value_clear (&value);
--- a/tests/control/test_lease.c
+++ b/tests/control/test_lease.c
@@ -142,7 +142,7 @@
 {
   struct fixture *f = *state;
 
-  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   mt_lease_step (f->a);
   for (int i = 0; i < 8; i++)
     {
--- a/tests/control/test_proxied.c
+++ b/tests/control/test_proxied.c
@@ -97,7 +97,7 @@
   const struct mt_store *store = fake_store_store (f->fake);
 
   assert_true (mt_proxied_note (f->proxied, MT_STR ("cut-off")));
-  fake_store_fault_next (f->fake, FAKE_FAULT_DROP, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_REQUEST, 1, true);
   mt_proxied_register (f->proxied, store);
   assert_int_equal (held (f), 1);
   mt_proxied_register (f->proxied, store);
--- a/tests/ctl/test_apply.c
+++ b/tests/ctl/test_apply.c
@@ -92,9 +92,9 @@
   sched->context.out = open_memstream (&sched->out, &sched->out_len);
   sched->context.err = open_memstream (&sched->err, &sched->err_len);
   sched->calls = 0;
-  fake_store_before_call (sched->fake, before_call, sched);
+  fake_store_set_call_hook (sched->fake, before_call, sched);
   code = mt_command_apply (&sched->context, sched->path);
-  fake_store_before_call (sched->fake, NULL, NULL);
+  fake_store_set_call_hook (sched->fake, NULL, NULL);
   fclose (sched->context.out);
   fclose (sched->context.err);
   return code;
@@ -217,7 +217,7 @@
 {
   struct sched *sched = *state;
 
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   accept (sched, 0, "p");
   assert_told (sched->out, "\"accepted\":1");
   assert_int_equal (fake_store_writes (sched->fake), 1);
@@ -243,7 +243,7 @@
 
   accept (sched, 0, "p");
   edit (sched, 1, "mine");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   sched->act = rival_applies_on_mine;
   sched->act_before_call = PUT_CALL + 1;
   assert_int_equal (apply (sched), MT_EXIT_OK);
@@ -258,7 +258,7 @@
 
   accept (sched, 0, "p");
   edit (sched, 1, "mine");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_DROP, 1, true);
+  fake_store_fault_next (sched->fake, FAKE_FAULT_LOSE_REQUEST, 1, true);
   sched->act = rival_applies;
   sched->act_before_call = PUT_CALL + 1;
   assert_int_equal (apply (sched), MT_EXIT_CONFLICT);
@@ -275,9 +275,9 @@
 
   accept (sched, 0, "p");
   edit (sched, 1, "late");
-  fake_store_fault_next (sched->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (sched->fake, FAKE_FAULT_DELAY, 1, true);
   assert_int_equal (apply (sched), MT_EXIT_UNKNOWN);
-  fake_store_deliver (sched->fake);
+  fake_store_deliver_delayed (sched->fake);
   assert_int_equal (apply (sched), MT_EXIT_OK);
   assert_told (sched->out, "\"accepted\":2");
   assert_told (sched->out, "\"unchanged\":true");
--- a/tests/fakes/fake_store.c
+++ b/tests/fakes/fake_store.c
@@ -284,9 +284,9 @@
     result = apply_write (fake, write);
   else if (fault == FAKE_FAULT_FAIL)
     result = MT_STORE_FAILED;
-  else if (fault == FAKE_FAULT_LOSE)
+  else if (fault == FAKE_FAULT_LOSE_ANSWER)
     apply_write (fake, write);
-  else if (fault == FAKE_FAULT_LATE)
+  else if (fault == FAKE_FAULT_DELAY)
     g_queue_push_tail (&fake->late, g_steal_pointer (&write));
   if (write != NULL)
     free_write (write);
@@ -364,7 +364,7 @@
   struct fake_store *fake = ctx;
   enum fake_fault fault = begin_call (fake, true);
 
-  if (fault == FAKE_FAULT_NONE || fault == FAKE_FAULT_LOSE)
+  if (fault == FAKE_FAULT_NONE || fault == FAKE_FAULT_LOSE_ANSWER)
     {
       g_tree_foreach (fake->entries, release_if_held, (gpointer) id);
       g_hash_table_remove (fake->leases, id);
@@ -458,7 +458,7 @@
 }
 
 void
-fake_store_deliver (struct fake_store *fake)
+fake_store_deliver_delayed (struct fake_store *fake)
 {
   struct write *write;
 
@@ -472,7 +472,7 @@
 }
 
 void
-fake_store_before_call (struct fake_store *fake, void (*hook) (void *ctx), void *ctx)
+fake_store_set_call_hook (struct fake_store *fake, void (*hook) (void *ctx), void *ctx)
 {
   fake->hook = hook;
   fake->hook_ctx = ctx;
--- a/tests/fakes/fake_store.h
+++ b/tests/fakes/fake_store.h
@@ -11,10 +11,11 @@
 enum fake_fault
 {
   FAKE_FAULT_NONE,
-  FAKE_FAULT_FAIL, /* reads fail; writes return FAILED and take no effect */
-  FAKE_FAULT_LOSE, /* writes take effect and return UNKNOWN; reads fail */
-  FAKE_FAULT_DROP, /* writes take no effect and return UNKNOWN; reads fail */
-  FAKE_FAULT_LATE, /* writes return UNKNOWN and take effect at fake_store_deliver; reads fail */
+  FAKE_FAULT_FAIL,         /* reads fail; writes return FAILED and take no effect */
+  FAKE_FAULT_LOSE_ANSWER,  /* writes take effect and return UNKNOWN; reads fail */
+  FAKE_FAULT_LOSE_REQUEST, /* writes take no effect and return UNKNOWN; reads fail */
+  FAKE_FAULT_DELAY, /* writes return UNKNOWN and take effect at fake_store_deliver_delayed; reads
+                       fail */
   FAKE_FAULT_LAST,
 };
 
@@ -31,10 +32,10 @@
                             bool writes_only);
 /* Each call meets a fault with this chance, drawn from the seed; 0 ends it. */
 void fake_store_fault_by_seed (struct fake_store *fake, uint64_t seed, unsigned permille);
-/* Writes held back by FAKE_FAULT_LATE reach the store now, in the order sent. */
-void fake_store_deliver (struct fake_store *fake);
+/* Writes held back by FAKE_FAULT_DELAY reach the store now, in the order sent. */
+void fake_store_deliver_delayed (struct fake_store *fake);
 /* Runs before each call, outside of the lock, so that a test can put a rival in between. */
-void fake_store_before_call (struct fake_store *fake, void (*hook) (void *ctx), void *ctx);
+void fake_store_set_call_hook (struct fake_store *fake, void (*hook) (void *ctx), void *ctx);
 
 /* Writes past all fences, as a restored backup would; NULL data removes the key. */
 void fake_store_force (struct fake_store *fake, const char *key, const char *data);
--- a/tests/fakes/test_fake_store.c
+++ b/tests/fakes/test_fake_store.c
@@ -63,16 +63,16 @@
 {
   struct fixture *f = *state;
 
-  fake_store_fault_next (f->fake, FAKE_FAULT_DROP, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_REQUEST, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 0);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_DELAY, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 0);
-  fake_store_deliver (f->fake);
+  fake_store_deliver_delayed (f->fake);
   assert_int_equal (fake_store_count (f->fake, ""), 1);
   fake_store_force (f->fake, "k", NULL);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 1);
   fake_store_set_down (f->fake, true);
--- a/tests/jobs/test_journal.c
+++ b/tests/jobs/test_journal.c
@@ -113,7 +113,7 @@
   struct fixture *f = *state;
   struct planner a = create_planner (f, 1);
 
-  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   assert_int_equal (plan_and_record (&a), MT_JOURNAL_RECORDED);
   destroy_planner (&a);
 }
@@ -127,12 +127,12 @@
   struct planner a = create_planner (f, 1);
   struct planner b;
 
-  fake_store_fault_next (f->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_DELAY, 1, true);
   assert_int_equal (plan_and_record (&a), MT_JOURNAL_FAILED);
   b = create_planner (f, 2);
   assert_int_equal (mt_jobs_state (b.jobs, "job"), MT_JOB_WAITING);
   assert_int_equal (plan_and_record (&b), MT_JOURNAL_RECORDED);
-  fake_store_deliver (f->fake);
+  fake_store_deliver_delayed (f->fake);
   destroy_planner (&b);
   b = create_planner (f, 2);
   assert_int_equal (mt_jobs_state (b.jobs, "job"), MT_JOB_RUNNING);
@@ -183,7 +183,7 @@
 
   if (++in->calls != 2)
     return;
-  fake_store_before_call (in->f->fake, NULL, NULL);
+  fake_store_set_call_hook (in->f->fake, NULL, NULL);
   in->planner = create_planner (in->f, 2);
   mt_jobs_cancel (in->planner.jobs, "job");
   assert_int_equal (plan_and_record (&in->planner), MT_JOURNAL_RECORDED);
@@ -201,7 +201,7 @@
   struct planner after;
 
   fill_generation (&a);
-  fake_store_before_call (f->fake, run_successor, &in);
+  fake_store_set_call_hook (f->fake, run_successor, &in);
   assert_int_equal (mt_jobs_journal_compact (a.journal, a.jobs, NULL), MT_JOURNAL_CONFLICT);
   after = create_planner (f, 3);
   assert_int_equal (mt_jobs_state (after.jobs, "job"), MT_JOB_STOPPING);
--- a/tests/once/property_once.cpp
+++ b/tests/once/property_once.cpp
@@ -293,7 +293,7 @@
     else if (op < 140)
       restart (w);
     else if (op < 145)
-      fake_store_deliver (fake);
+      fake_store_deliver_delayed (fake);
     else
       fake_store_fault_by_seed (fake, arg, arg % 2 == 0 ? 0 : 300);
   }
@@ -303,7 +303,7 @@
   end_faults ()
   {
     fake_store_fault_by_seed (fake, 0, 0);
-    fake_store_deliver (fake);
+    fake_store_deliver_delayed (fake);
     for (int i = 0; i < 12; i++)
       {
         for (unsigned w = 0; w < kWriters; w++)
--- a/tests/once/test_once.c
+++ b/tests/once/test_once.c
@@ -158,7 +158,7 @@
   struct mt_once_request request = make_request (7, 70);
 
   mt_once_request (f->a, &request);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   run_calls (f, f->a);
   mt_clock_manual_advance (f->manual, MT_SECOND);
   run_calls (f, f->a);
@@ -175,11 +175,11 @@
   struct mt_once_request request = make_request (7, 70);
 
   mt_once_request (f->a, &request);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_DELAY, 1, true);
   run_calls (f, f->a);
   mt_once_cancel (f->a, &request);
   assert_int_equal (request.result, MT_ONCE_UNAVAILABLE);
-  fake_store_deliver (f->fake);
+  fake_store_deliver_delayed (f->fake);
   for (int i = 0; i < 3; i++)
     {
       mt_clock_manual_advance (f->manual, MT_SECOND);
