--- a/tests/fakes/fake_store.c
+++ b/tests/fakes/fake_store.c
@@ -9,24 +9,24 @@
   char *data;
   size_t len;
   uint64_t index;
-  char *lease; /* that holds it, or NULL */
+  char *lease; /* id of the lease that holds the key, or NULL */
 };
 
 struct lease
 {
   int64_t ttl_us;
-  int64_t lapses_us;
+  int64_t expires_us;
 };
 
-/* A write on its way. */
+/* A write that has not taken effect yet. */
 struct write
 {
   char *key;
   char *data;
   size_t len;
-  uint64_t index; /* to compare with, for a put */
-  char *lease;    /* set for acquire */
-  bool removes;
+  uint64_t index; /* of a put: the entry's expected index; 0: no entry */
+  char *lease;    /* of an acquire; else NULL */
+  bool is_removal;
 };
 
 struct fake_store
@@ -38,7 +38,7 @@
   GMutex lock;        /* guards all below */
   GTree *entries;     /* key -> struct entry */
   GHashTable *leases; /* id -> struct lease */
-  GQueue late;        /* of struct write */
+  GQueue delayed;     /* of struct write, in the order sent */
   uint64_t index;
   uint64_t next_lease;
   uint64_t reads;
@@ -48,7 +48,7 @@
   unsigned next_times;
   bool next_writes_only;
   GRand *rand;
-  unsigned permille;
+  unsigned fault_permille; /* chance of a random fault in each call */
 };
 
 static void
@@ -89,12 +89,12 @@
 }
 
 static gboolean
-drop_if_lapsed (gpointer id, gpointer value, gpointer data)
+remove_if_expired (gpointer id, gpointer value, gpointer data)
 {
   struct fake_store *fake = data;
   const struct lease *lease = value;
 
-  if (lease->lapses_us > mt_clock_now (fake->clock))
+  if (lease->expires_us > mt_clock_now (fake->clock))
     return FALSE;
   g_tree_foreach (fake->entries, release_if_held, id);
   return TRUE;
@@ -110,12 +110,13 @@
       fake->next_times--;
       return fake->next_fault;
     }
-  if (fake->permille > 0 && (unsigned) g_rand_int_range (fake->rand, 0, 1000) < fake->permille)
+  if (fake->fault_permille > 0
+      && (unsigned) g_rand_int_range (fake->rand, 0, 1000) < fake->fault_permille)
     return (enum fake_fault) g_rand_int_range (fake->rand, FAKE_FAULT_FAIL, FAKE_FAULT_LAST);
   return FAKE_FAULT_NONE;
 }
 
-/* Counts the call, takes the lock, and tells what befalls the call. */
+/* Counts the call, takes the lock and returns the call's fault. end_call releases the lock. */
 static enum fake_fault
 begin_call (struct fake_store *fake, bool is_write)
 {
@@ -126,17 +127,17 @@
     fake->writes++;
   else
     fake->reads++;
-  g_hash_table_foreach_remove (fake->leases, drop_if_lapsed, fake);
+  g_hash_table_foreach_remove (fake->leases, remove_if_expired, fake);
   return draw_fault (fake, is_write);
 }
 
 static bool
-end_read (struct fake_store *fake, enum fake_fault fault, GError **error)
+end_call (struct fake_store *fake, enum fake_fault fault, GError **error)
 {
   g_mutex_unlock (&fake->lock);
   if (fault == FAKE_FAULT_NONE)
     return true;
-  g_set_error_literal (error, MT_ERROR, MT_ERROR_UNAVAILABLE, "fault by test; none needed");
+  g_set_error_literal (error, MT_ERROR, MT_ERROR_UNAVAILABLE, "fault injected by the test");
   return false;
 }
 
@@ -164,7 +165,7 @@
   *out = (struct mt_store_value){ 0 };
   if (fault == FAKE_FAULT_NONE)
     copy_value (key, g_tree_lookup (fake->entries, key), out);
-  return end_read (fake, fault, error);
+  return end_call (fake, fault, error);
 }
 
 static bool
@@ -219,7 +220,7 @@
       walk.values = *out;
       g_tree_foreach (fake->entries, collect, &walk);
     }
-  return end_read (fake, fault, error);
+  return end_call (fake, fault, error);
 }
 
 static void
@@ -260,7 +261,7 @@
 {
   const struct entry *entry = g_tree_lookup (fake->entries, write->key);
 
-  if (write->removes)
+  if (write->is_removal)
     {
       remove_prefix (fake, write->key);
       return MT_STORE_DONE;
@@ -273,7 +274,7 @@
   return MT_STORE_DONE;
 }
 
-/* Takes the write over. */
+/* Takes ownership of the write. */
 static enum mt_store_write_result
 do_write (struct fake_store *fake, struct write *write, GError **error)
 {
@@ -287,10 +288,10 @@
   else if (fault == FAKE_FAULT_LOSE_ANSWER)
     apply_write (fake, write);
   else if (fault == FAKE_FAULT_DELAY)
-    g_queue_push_tail (&fake->late, g_steal_pointer (&write));
+    g_queue_push_tail (&fake->delayed, g_steal_pointer (&write));
   if (write != NULL)
     free_write (write);
-  end_read (fake, fault, error);
+  end_call (fake, fault, error);
   return result;
 }
 
@@ -319,7 +320,7 @@
 {
   struct write *write = make_write (prefix, (struct mt_str){ 0 });
 
-  write->removes = true;
+  write->is_removal = true;
   return do_write (ctx, write, error);
 }
 
@@ -335,11 +336,11 @@
     {
       lease = g_new0 (struct lease, 1);
       lease->ttl_us = ttl_s * MT_SECOND;
-      lease->lapses_us = mt_clock_now (fake->clock) + lease->ttl_us;
+      lease->expires_us = mt_clock_now (fake->clock) + lease->ttl_us;
       *id = g_strdup_printf ("lease-%" G_GUINT64_FORMAT, ++fake->next_lease);
       g_hash_table_insert (fake->leases, g_strdup (*id), lease);
     }
-  return end_read (fake, fault, error);
+  return end_call (fake, fault, error);
 }
 
 static bool
@@ -350,8 +351,8 @@
   struct lease *lease = g_hash_table_lookup (fake->leases, id);
 
   if (fault == FAKE_FAULT_NONE && lease != NULL)
-    lease->lapses_us = mt_clock_now (fake->clock) + lease->ttl_us;
-  if (!end_read (fake, fault, error))
+    lease->expires_us = mt_clock_now (fake->clock) + lease->ttl_us;
+  if (!end_call (fake, fault, error))
     return false;
   if (lease == NULL)
     g_set_error_literal (error, MT_ERROR, MT_ERROR_STALE, "the lease has lapsed; take a new one");
@@ -369,7 +370,7 @@
       g_tree_foreach (fake->entries, release_if_held, (gpointer) id);
       g_hash_table_remove (fake->leases, id);
     }
-  end_read (fake, fault, NULL);
+  end_call (fake, fault, NULL);
 }
 
 static enum mt_store_write_result
@@ -383,7 +384,7 @@
 
 static const struct mt_store_ops fake_ops = {
   .name = "fake",
-  .description = "a store in memory with faults on request",
+  .description = "in-memory store with faults on request",
   .get = fake_get,
   .watch = fake_watch,
   .list = fake_list,
@@ -415,7 +416,7 @@
 {
   g_tree_destroy (fake->entries);
   g_hash_table_destroy (fake->leases);
-  g_queue_clear_full (&fake->late, free_write);
+  g_queue_clear_full (&fake->delayed, free_write);
   g_rand_free (fake->rand);
   g_mutex_clear (&fake->lock);
   g_free (fake);
@@ -453,7 +454,7 @@
 {
   g_mutex_lock (&fake->lock);
   g_rand_set_seed (fake->rand, (guint32) (seed ^ (seed >> 32)));
-  fake->permille = permille;
+  fake->fault_permille = permille;
   g_mutex_unlock (&fake->lock);
 }
 
@@ -463,7 +464,7 @@
   struct write *write;
 
   g_mutex_lock (&fake->lock);
-  while ((write = g_queue_pop_head (&fake->late)) != NULL)
+  while ((write = g_queue_pop_head (&fake->delayed)) != NULL)
     {
       apply_write (fake, write);
       free_write (write);
--- a/tests/fakes/fake_store.h
+++ b/tests/fakes/fake_store.h
@@ -1,5 +1,5 @@
-/* A store in memory for tests: the semantics of the platform's service on an injected clock, with
- * faults set by hand or drawn from a seed. Any thread may call; a watch returns at once. */
+/* An in-memory store for tests: the semantics of the platform's key-value service on an injected
+ * clock, with faults set by the test or drawn from a seed. Thread-safe. A watch returns at once. */
 #ifndef FAKE_STORE_H
 #define FAKE_STORE_H
 
@@ -25,23 +25,25 @@
 
 /* While down, every call fails without effect. */
 void fake_store_set_down (struct fake_store *fake, bool down);
-/* The next so many calls meet this fault, writes only or all. */
+/* Applies the fault to the next `times` calls, or only to writes among them. */
 void fake_store_fault_next (struct fake_store *fake,
                             enum fake_fault fault,
                             unsigned times,
                             bool writes_only);
-/* Each call meets a fault with this chance, drawn from the seed; 0 ends it. */
+/* Applies a random fault to each call with this chance, drawn from the seed; 0 ends it. */
 void fake_store_fault_by_seed (struct fake_store *fake, uint64_t seed, unsigned permille);
-/* Writes held back by FAKE_FAULT_DELAY reach the store now, in the order sent. */
+/* Applies the writes delayed by FAKE_FAULT_DELAY, in the order sent. */
 void fake_store_deliver_delayed (struct fake_store *fake);
-/* Runs before each call, outside of the lock, so that a test can put a rival in between. */
+/* Sets a function that runs before each call, without the lock, so that a test can let a competing
+ * writer act in between. */
 void fake_store_set_call_hook (struct fake_store *fake, void (*hook) (void *ctx), void *ctx);
 
-/* Writes past all fences, as a restored backup would; NULL data removes the key. */
+/* Overwrites the key without any check, as a restored backup does; NULL data removes it. */
 void fake_store_force (struct fake_store *fake, const char *key, const char *data);
-/* Calls so far; a watch is a read. */
+/* Number of calls so far; a watch counts as a read. */
 uint64_t fake_store_reads (struct fake_store *fake);
 uint64_t fake_store_writes (struct fake_store *fake);
+/* Number of keys with the prefix. */
 unsigned fake_store_count (struct fake_store *fake, const char *prefix);
 
 #endif
--- a/tests/fakes/test_fake_store.c
+++ b/tests/fakes/test_fake_store.c
@@ -45,7 +45,7 @@
 }
 
 static void
-test_compare_and_swap (void **state)
+test_put_with_wrong_index_conflicts (void **state)
 {
   struct fixture *f = *state;
   struct mt_store_value value;
@@ -58,8 +58,9 @@
   mt_store_value_clear (&value);
 }
 
+/* Each write fault has its result, and takes effect or not, as fake_store.h says. */
 static void
-test_faults (void **state)
+test_faults_take_effect_as_documented (void **state)
 {
   struct fixture *f = *state;
 
@@ -79,8 +80,10 @@
   assert_int_equal (put (f, 0), MT_STORE_FAILED);
 }
 
+/* A key is held until its lease expires; then another lease acquires it, and the first can't be
+ * renewed. */
 static void
-test_leases (void **state)
+test_expired_lease_releases_key (void **state)
 {
   struct fixture *f = *state;
   const struct mt_store_ops *ops = f->store->ops;
@@ -102,9 +105,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_compare_and_swap, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_faults, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_leases, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_put_with_wrong_index_conflicts, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_faults_take_effect_as_documented, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_expired_lease_releases_key, set_up, tear_down),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/standins/fleet_main.c
+++ b/tests/standins/fleet_main.c
@@ -1,9 +1,15 @@
-/* The users' platform in one process: a store, workers of one pool, their machines. Arguments:
- * number of workers, run time of a task in ms (0: it never ends). Prints "port=N" of the store.
- * Besides the platform's own calls the store's port takes, for tests: POST
- * /test/store?mode=up|busy|silent|lost    POST /test/forget    POST /test/lose?percent=N POST
- * /test/resize?cpu=N    POST /test/put?key=K (the value is the body)   GET /test/get?key=K    GET
- * /test/report */
+/* Simulates the platform in one process: a store, the workers of one pool, and their machines.
+ * Arguments: number of workers (4), run time of a task in ms (300; 0: tasks never end). Prints the
+ * store's port as "port=N". Besides the platform's calls the port accepts calls for tests:
+ *
+ *   POST /test/store?mode=up|busy|silent|lost   see fleet_store_set_mode
+ *   POST /test/forget                           see fleet_store_compact
+ *   POST /test/lose?percent=N                   see fleet_workers_lose_answers
+ *   POST /test/resize?cpu=N                     see fleet_workers_resize
+ *   POST /test/put?key=K                        the body is the value
+ *   GET /test/get?key=K
+ *   GET /test/report                            see fleet_workers_report
+ */
 #include "fleet_store.h"
 #include "fleet_workers.h"
 
@@ -23,7 +29,7 @@
 };
 
 static void
-put (struct platform *p, struct mt_exchange *exchange)
+handle_put (struct platform *p, struct mt_exchange *exchange)
 {
   struct mt_str body = mt_exchange_body (exchange);
   g_autofree char *text = g_strndup (body.data, body.len);
@@ -33,7 +39,7 @@
 }
 
 static void
-get (struct platform *p, struct mt_exchange *exchange)
+handle_get (struct platform *p, struct mt_exchange *exchange)
 {
   g_autofree char *text = fleet_store_get (p->store, mt_exchange_query (exchange, "key"));
 
@@ -42,30 +48,31 @@
 }
 
 static void
-on_test (struct platform *p, const char *what, struct mt_exchange *exchange)
+handle_test_call (struct platform *p, const char *action, struct mt_exchange *exchange)
 {
-  if (strcmp (what, "put") == 0)
+  if (strcmp (action, "put") == 0)
     {
-      put (p, exchange);
+      handle_put (p, exchange);
       return;
     }
-  if (strcmp (what, "get") == 0)
+  if (strcmp (action, "get") == 0)
     {
-      get (p, exchange);
+      handle_get (p, exchange);
       return;
     }
-  if (strcmp (what, "report") == 0)
+  if (strcmp (action, "report") == 0)
     {
       fleet_answer (exchange, 200, fleet_workers_report (p->workers));
       return;
     }
-  if (strcmp (what, "store") == 0)
+  if (strcmp (action, "store") == 0)
     fleet_store_set_mode (p->store, mt_exchange_query (exchange, "mode"));
-  else if (strcmp (what, "forget") == 0)
-    fleet_store_forget (p->store);
-  else if (strcmp (what, "lose") == 0)
-    fleet_workers_lose (p->workers, (unsigned) atoi (mt_exchange_query (exchange, "percent")));
-  else if (strcmp (what, "resize") == 0)
+  else if (strcmp (action, "forget") == 0)
+    fleet_store_compact (p->store);
+  else if (strcmp (action, "lose") == 0)
+    fleet_workers_lose_answers (p->workers,
+                                (unsigned) atoi (mt_exchange_query (exchange, "percent")));
+  else if (strcmp (action, "resize") == 0)
     fleet_workers_resize (p->workers, atoi (mt_exchange_query (exchange, "cpu")));
   fleet_answer (exchange, 200, json_object ());
 }
@@ -77,7 +84,7 @@
   const char *path = mt_exchange_path (exchange);
 
   if (g_str_has_prefix (path, "/test/"))
-    on_test (p, path + strlen ("/test/"), exchange);
+    handle_test_call (p, path + strlen ("/test/"), exchange);
   else if (g_str_has_prefix (path, "/machine"))
     fleet_workers_handle_machines (p->workers, exchange);
   else
--- a/tests/standins/fleet_store.c
+++ b/tests/standins/fleet_store.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_MS  20
-#define PAGE     200
-#define SILENT_S 3 /* an exchange without an answer is ended after this */
+#define TICK_MS        20
+#define MAX_PAGE_ITEMS 200
+#define UNANSWERED_S   3 /* an unanswered exchange gets status 500 after this time */
 
 struct item
 {
@@ -30,8 +30,8 @@
 {
   struct mt_exchange *exchange;
   char *prefix;
-  int64_t after;
-  int64_t until;
+  int64_t after_revision;
+  int64_t deadline_ms; /* answered without events at this time */
 };
 
 struct fleet_store
@@ -41,11 +41,11 @@
   GHashTable *items;
   GArray *changes; /* struct change, oldest first */
   int64_t revision;
-  int64_t forgotten;  /* changes up to here are gone */
-  GHashTable *leases; /* id to when it ends */
+  int64_t compacted_revision; /* watches that start before it get 410 */
+  GHashTable *leases;         /* id -> int64_t[3]: id, TTL in ms, expiry time in ms */
   int64_t next_lease;
   GQueue watches;
-  GQueue silent; /* struct watch without a prefix: to be ended */
+  GQueue unanswered; /* struct watch without prefix: exchanges held back, by deadline */
   char *mode;
 };
 
@@ -76,7 +76,7 @@
 }
 
 static void
-set (struct fleet_store *s, const char *key, const char *value, int64_t lease)
+set_item (struct fleet_store *s, const char *key, const char *value, int64_t lease)
 {
   struct item *item = g_hash_table_lookup (s->items, key);
   struct change change = { .key = g_strdup (key), .value = g_strdup (value), .lease = lease };
@@ -96,7 +96,7 @@
 }
 
 static json_t *
-base64 (const char *value)
+encode_base64 (const char *value)
 {
   g_autofree char *text = g_base64_encode ((const guchar *) value, strlen (value));
 
@@ -104,33 +104,33 @@
 }
 
 static json_t *
-show_item (const struct item *item)
+item_to_json (const struct item *item)
 {
-  return json_pack ("{ss so sI sI sI}", "key", item->key, "value", base64 (item->value), "revision",
-                    item->revision, "created-rev", item->created, "lease", item->lease);
+  return json_pack ("{ss so sI sI sI}", "key", item->key, "value", encode_base64 (item->value),
+                    "revision", item->revision, "created-rev", item->created, "lease", item->lease);
 }
 
 /* ---- reads ---- */
 
 static void
-get (struct fleet_store *s, struct mt_exchange *exchange)
+handle_get (struct fleet_store *s, struct mt_exchange *exchange)
 {
   const char *key = mt_exchange_query (exchange, "key");
   const struct item *item = key != NULL ? g_hash_table_lookup (s->items, key) : NULL;
-  json_t *body = item != NULL ? show_item (item) : json_object ();
+  json_t *body = item != NULL ? item_to_json (item) : json_object ();
 
   json_object_set_new (body, "at-rev", json_integer (s->revision));
   fleet_answer (exchange, item != NULL ? 200 : 404, body);
 }
 
 static int
-compare (const void *a, const void *b)
+compare_keys (const void *a, const void *b)
 {
   return strcmp (*(const char *const *) a, *(const char *const *) b);
 }
 
 static void
-range (struct fleet_store *s, struct mt_exchange *exchange)
+handle_range (struct fleet_store *s, struct mt_exchange *exchange)
 {
   const char *prefix = mt_exchange_query (exchange, "prefix");
   const char *after = mt_exchange_query (exchange, "after");
@@ -139,15 +139,15 @@
   json_t *list = json_array ();
   bool more = false;
 
-  qsort (keys, n, sizeof *keys, compare);
+  qsort (keys, n, sizeof *keys, compare_keys);
   for (guint i = 0; i < n && !more; i++)
     {
       if (!g_str_has_prefix (keys[i], prefix != NULL ? prefix : "")
           || (after != NULL && strcmp (keys[i], after) <= 0))
         continue;
-      more = json_array_size (list) >= PAGE;
+      more = json_array_size (list) >= MAX_PAGE_ITEMS;
       if (!more)
-        json_array_append_new (list, show_item (g_hash_table_lookup (s->items, keys[i])));
+        json_array_append_new (list, item_to_json (g_hash_table_lookup (s->items, keys[i])));
     }
   g_free (keys);
   fleet_answer (exchange, 200,
@@ -170,7 +170,7 @@
             list, json_pack ("{ss sI sb}", "key", c->key, "revision", c->revision, "deleted", 1));
       else
         json_array_append_new (list, json_pack ("{ss so sI sI sI}", "key", c->key, "value",
-                                                base64 (c->value), "revision", c->revision,
+                                                encode_base64 (c->value), "revision", c->revision,
                                                 "created-rev", c->created, "lease", c->lease));
     }
   return list;
@@ -188,9 +188,9 @@
 static bool
 answer_watch (struct fleet_store *s, const struct watch *w)
 {
-  json_t *events = changes_since (s, w->prefix, w->after);
+  json_t *events = changes_since (s, w->prefix, w->after_revision);
 
-  if (json_array_size (events) == 0 && now_ms () < w->until)
+  if (json_array_size (events) == 0 && now_ms () < w->deadline_ms)
     {
       json_decref (events);
       return false;
@@ -200,14 +200,14 @@
 }
 
 static void
-watch (struct fleet_store *s, struct mt_exchange *exchange)
+handle_watch (struct fleet_store *s, struct mt_exchange *exchange)
 {
   const char *prefix = mt_exchange_query (exchange, "prefix");
   const char *after = mt_exchange_query (exchange, "after");
   const char *wait = mt_exchange_query (exchange, "wait-ms");
   struct watch *w;
 
-  if (after != NULL && atoll (after) < s->forgotten)
+  if (after != NULL && atoll (after) < s->compacted_revision)
     {
       fleet_answer (exchange, 410, json_object ());
       return;
@@ -240,7 +240,7 @@
 /* ---- writes ---- */
 
 static json_t *
-conflicts (struct fleet_store *s, const json_t *expected, bool *any)
+check_expected (struct fleet_store *s, const json_t *expected, bool *any_conflict)
 {
   json_t *list = json_array ();
   size_t i;
@@ -252,36 +252,37 @@
     const struct item *item = g_hash_table_lookup (s->items, key);
     int64_t found = item != NULL ? item->revision : 0;
 
-    *any |= found != json_integer_value (json_object_get (row, "revision"));
-    json_array_append_new (list, item != NULL ? show_item (item)
+    *any_conflict |= found != json_integer_value (json_object_get (row, "revision"));
+    json_array_append_new (list, item != NULL ? item_to_json (item)
                                               : json_pack ("{ss sI}", "key", key, "revision", 0LL));
   }
   return list;
 }
 
 static bool
-lease_lives (const struct fleet_store *s, int64_t lease)
+is_lease_valid (const struct fleet_store *s, int64_t lease)
 {
   return lease == 0 || g_hash_table_contains (s->leases, &lease);
 }
 
-/* NULL where it was done; else the answer that says why not. */
+/* Applies a transaction of expected revisions, puts and removals, or nothing of it. Sets the HTTP
+ * status: 200, 412 (a revision differs) or 404 (a lease is unknown). Returns the answer's body. */
 static json_t *
-carry_out (struct fleet_store *s, const json_t *root, unsigned *status)
+apply_txn (struct fleet_store *s, const json_t *root, unsigned *status)
 {
-  bool any = false;
-  json_t *found = conflicts (s, json_object_get (root, "expected"), &any);
+  bool any_conflict = false;
+  json_t *found = check_expected (s, json_object_get (root, "expected"), &any_conflict);
   const json_t *puts = json_object_get (root, "puts");
   size_t i;
   const json_t *row;
 
-  *status = any ? 412 : 200;
-  if (any)
+  *status = any_conflict ? 412 : 200;
+  if (any_conflict)
     return json_pack ("{so}", "items", found);
   json_decref (found);
   json_array_foreach (
       puts, i,
-      row) if (!lease_lives (s, json_integer_value (json_object_get (row, "lease")))) *status
+      row) if (!is_lease_valid (s, json_integer_value (json_object_get (row, "lease")))) *status
       = 404;
   if (*status != 200)
     return json_object ();
@@ -292,44 +293,44 @@
         = g_base64_decode (json_string_value (json_object_get (row, "value")), &len);
     g_autofree char *text = g_strndup ((const char *) bytes, len);
 
-    set (s, json_string_value (json_object_get (row, "key")), text,
-         json_integer_value (json_object_get (row, "lease")));
+    set_item (s, json_string_value (json_object_get (row, "key")), text,
+              json_integer_value (json_object_get (row, "lease")));
   }
   json_array_foreach (json_object_get (root, "remove"), i,
                       row) if (g_hash_table_contains (s->items, json_string_value (row)))
-      set (s, json_string_value (row), NULL, 0);
+      set_item (s, json_string_value (row), NULL, 0);
   return json_pack ("{sI}", "revision", s->revision);
 }
 
 static void
-stay_silent (struct fleet_store *s, struct mt_exchange *exchange)
+leave_unanswered (struct fleet_store *s, struct mt_exchange *exchange)
 {
-  struct watch *silent = g_new0 (struct watch, 1);
+  struct watch *held = g_new0 (struct watch, 1);
 
-  *silent = (struct watch){ .exchange = exchange, .until = now_ms () + SILENT_S * 1000 };
-  g_queue_push_tail (&s->silent, silent);
+  *held = (struct watch){ .exchange = exchange, .deadline_ms = now_ms () + UNANSWERED_S * 1000 };
+  g_queue_push_tail (&s->unanswered, held);
 }
 
 static void
-txn (struct fleet_store *s, struct mt_exchange *exchange)
+handle_txn (struct fleet_store *s, struct mt_exchange *exchange)
 {
   struct mt_str body = mt_exchange_body (exchange);
   json_t *root = json_loadb (body.data, body.len, 0, NULL);
   unsigned status = 400;
-  json_t *answer = root != NULL ? carry_out (s, root, &status) : json_object ();
+  json_t *answer = root != NULL ? apply_txn (s, root, &status) : json_object ();
 
   json_decref (root);
   if (strcmp (s->mode, "lost") != 0)
     fleet_answer (exchange, status, answer);
   else
     {
-      stay_silent (s, exchange);
+      leave_unanswered (s, exchange);
       json_decref (answer);
     }
   answer_watches (s);
 }
 
-/* A lease is three numbers: its id, its length, when it ends. */
+/* Removes the lease and the items held under it. */
 static void
 end_lease (struct fleet_store *s, int64_t id)
 {
@@ -343,11 +344,11 @@
     if (item->lease == id)
       g_ptr_array_add (gone, g_strdup (item->key));
   for (guint i = 0; i < gone->len; i++)
-    set (s, gone->pdata[i], NULL, 0);
+    set_item (s, gone->pdata[i], NULL, 0);
 }
 
 static void
-keep (struct fleet_store *s, struct mt_exchange *exchange, int64_t id)
+handle_keep (struct fleet_store *s, struct mt_exchange *exchange, int64_t id)
 {
   int64_t *lease = g_hash_table_lookup (s->leases, &id);
 
@@ -361,7 +362,7 @@
 }
 
 static void
-grant (struct fleet_store *s, struct mt_exchange *exchange)
+handle_grant (struct fleet_store *s, struct mt_exchange *exchange)
 {
   struct mt_str body = mt_exchange_body (exchange);
   json_t *root = json_loadb (body.data, body.len, 0, NULL);
@@ -385,19 +386,19 @@
   if (strcmp (s->mode, "busy") == 0)
     fleet_answer (exchange, 503, json_object ());
   else if (strcmp (s->mode, "silent") == 0)
-    stay_silent (s, exchange);
+    leave_unanswered (s, exchange);
   else if (strcmp (path, "/kv-key") == 0)
-    get (s, exchange);
+    handle_get (s, exchange);
   else if (strcmp (path, "/kv-range") == 0)
-    range (s, exchange);
+    handle_range (s, exchange);
   else if (strcmp (path, "/kv-watch") == 0)
-    watch (s, exchange);
+    handle_watch (s, exchange);
   else if (strcmp (path, "/kv-txn") == 0)
-    txn (s, exchange);
+    handle_txn (s, exchange);
   else if (strcmp (path, "/kv-lease") == 0)
-    grant (s, exchange);
+    handle_grant (s, exchange);
   else if (g_str_has_prefix (path, "/kv-keep/"))
-    keep (s, exchange, atoll (path + strlen ("/kv-keep/")));
+    handle_keep (s, exchange, atoll (path + strlen ("/kv-keep/")));
   else if (g_str_has_prefix (path, "/kv-lease-end/"))
     {
       end_lease (s, atoll (path + strlen ("/kv-lease-end/")));
@@ -409,25 +410,25 @@
 }
 
 static void
-end_silent (struct fleet_store *s)
+end_unanswered (struct fleet_store *s)
 {
-  while (!g_queue_is_empty (&s->silent)
-         && ((struct watch *) g_queue_peek_head (&s->silent))->until < now_ms ())
+  while (!g_queue_is_empty (&s->unanswered)
+         && ((struct watch *) g_queue_peek_head (&s->unanswered))->deadline_ms < now_ms ())
     {
-      struct watch *w = g_queue_pop_head (&s->silent);
+      struct watch *w = g_queue_pop_head (&s->unanswered);
 
       fleet_answer (w->exchange, 500, json_object ());
       free_watch (w);
     }
 }
 
-/* While the store is out, leases pause. */
+/* While the store is unavailable, expiry times move on, so that no lease expires. */
 static void
-end_leases (struct fleet_store *s)
+expire_leases (struct fleet_store *s)
 {
   GHashTableIter it;
   int64_t *lease;
-  int64_t over = 0;
+  int64_t expired_id = 0;
 
   if (strcmp (s->mode, "up") != 0 && strcmp (s->mode, "lost") != 0)
     {
@@ -439,16 +440,16 @@
   g_hash_table_iter_init (&it, s->leases);
   while (g_hash_table_iter_next (&it, NULL, (void **) &lease))
     if (lease[2] < now_ms ())
-      over = lease[0];
-  if (over != 0)
-    end_lease (s, over);
+      expired_id = lease[0];
+  if (expired_id != 0)
+    end_lease (s, expired_id);
 }
 
 static void
 on_tick (evutil_socket_t fd, short what, void *ctx)
 {
-  end_silent (ctx);
-  end_leases (ctx);
+  end_unanswered (ctx);
+  expire_leases (ctx);
   answer_watches (ctx);
 }
 
@@ -472,7 +473,7 @@
 void
 fleet_store_put (struct fleet_store *s, const char *key, const char *value)
 {
-  set (s, key, value, 0);
+  set_item (s, key, value, 0);
   answer_watches (s);
 }
 
@@ -492,9 +493,9 @@
 }
 
 void
-fleet_store_forget (struct fleet_store *s)
+fleet_store_compact (struct fleet_store *s)
 {
-  s->forgotten = s->revision;
+  s->compacted_revision = s->revision;
   for (GList *l = s->watches.head; l != NULL; l = l->next)
     {
       fleet_answer (((struct watch *) l->data)->exchange, 410, json_object ());
--- a/tests/standins/fleet_workers.c
+++ b/tests/standins/fleet_workers.c
@@ -4,59 +4,60 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_MS     20
-#define BEAT_MS     1000
-#define UPKEEP_MS   400
-#define MAX_HOLD_MS 6000
-#define LOST_MS     2500
-#define CPU         16000
-#define TASK_CPU    1000
-#define CRASH_MS    1500
-/* The first task of each step of a job with this spec takes its worker down. */
-#define CRASH_SPEC "crash"
-#define MEM        32768
+#define TICK_MS          20
+#define HEARTBEAT_MS     1000
+#define MAINTENANCE_MS   400
+#define MAX_HOLD_MS      6000
+#define LOST_ANSWER_MS   2500
+#define WORKER_CPU_MILLI 16000
+#define TASK_CPU_MILLI   1000
+#define CRASH_DOWN_MS    1500
+/* The first task of each step of a job with this spec crashes its worker. */
+#define CRASH_SPEC       "crash"
+#define WORKER_MEMORY_MB 32768
 
 struct run
 {
   char *task;
-  int64_t run;
-  int64_t began;
+  int64_t id;
+  int64_t started_ms;
 };
 
 struct end
 {
-  int64_t number;
+  int64_t number; /* acknowledged by this number */
   char *task;
-  int64_t run;
-  const char *how;
+  int64_t run_id;
+  const char *reason;
 };
 
+/* An exchange that is answered later. */
 struct held
 {
   struct mt_exchange *exchange;
-  int64_t until;
+  int64_t deadline_ms;
   int64_t seen;
-  bool lost; /* gets no answer in time */
+  bool lost; /* answered after the caller's time-out */
 };
 
 struct worker
 {
-  struct fleet_workers *all;
+  struct fleet_workers *fleet;
   struct mt_http_front *front;
-  char *id;
+  char *id; /* differs by incarnation */
   char *machine;
-  int64_t born;
-  int64_t up_at; /* down for upkeep until then; 0 */
-  bool crashing; /* goes down at the next tick */
-  bool crashed;  /* down, and answers nobody */
-  int64_t token;
-  int64_t lease;
+  int64_t started_ms;
+  int64_t down_until_ms; /* end of maintenance or of a crash; 0: up */
+  bool crash_pending;    /* crashes at the next tick */
+  bool crashed;          /* down, and answers no call in time */
+  int64_t fencing_token; /* highest received */
+  int64_t lease_end_ms;  /* by the worker's clock; 0: no lease */
   GQueue runs;
   GQueue ends;
   GQueue held;
-  int64_t last_end;
+  int64_t last_end_number;
   int64_t seq;
-  unsigned lives;
+  unsigned incarnations;
 };
 
 struct fleet_workers
@@ -68,16 +69,16 @@
   unsigned n;
   int64_t run_ms;
   unsigned lose_percent;
-  unsigned orders;
-  GHashTable *token_of; /* machine to highest token */
+  unsigned calls;
+  GHashTable *machine_tokens; /* machine -> highest fencing token received */
   unsigned started;
-  unsigned twice;
-  unsigned lapsed;
-  unsigned down_most;
+  unsigned duplicates; /* starts of a task that ran already */
+  unsigned lapsed;     /* runs that ended because the lease expired */
+  unsigned max_down;   /* most workers down when a maintenance started */
   unsigned crashes;
-  unsigned overbooked; /* starts beyond a worker's room */
-  int64_t cpu;
-  int64_t beat_at;
+  unsigned overbooked; /* starts beyond a worker's capacity */
+  int64_t cpu_milli;   /* of each worker */
+  int64_t next_heartbeat_ms;
 };
 
 static int64_t
@@ -87,9 +88,9 @@
 }
 
 static int64_t
-clock_of (const struct worker *w)
+worker_clock_ms (const struct worker *w)
 {
-  return now_ms () - w->born;
+  return now_ms () - w->started_ms;
 }
 
 /* ---- runs ---- */
@@ -104,47 +105,48 @@
 }
 
 static void
-end_run (struct worker *w, struct run *run, const char *how)
+end_run (struct worker *w, struct run *run, const char *reason)
 {
   struct end *end = g_new0 (struct end, 1);
 
-  *end = (struct end){ ++w->last_end, run->task, run->run, how };
+  *end = (struct end){ ++w->last_end_number, run->task, run->id, reason };
   g_queue_push_tail (&w->ends, end);
   g_queue_remove (&w->runs, run);
   g_free (run);
 }
 
 static void
-end_all (struct worker *w, const char *how)
+end_all_runs (struct worker *w, const char *reason)
 {
   while (!g_queue_is_empty (&w->runs))
-    end_run (w, g_queue_peek_head (&w->runs), how);
+    end_run (w, g_queue_peek_head (&w->runs), reason);
 }
 
+/* True if the request's fencing token is older than the newest one received, which it updates. */
 static bool
 is_fenced (struct worker *w, const json_t *root)
 {
   int64_t token = json_integer_value (json_object_get (root, "fencing-token"));
 
-  if (token < w->token)
+  if (token < w->fencing_token)
     return true;
-  w->token = token;
+  w->fencing_token = token;
   return false;
 }
 
 static void
-extend (struct worker *w, const json_t *root)
+extend_lease (struct worker *w, const json_t *root)
 {
   int64_t lease = json_integer_value (json_object_get (root, "deadline-ms"));
 
-  lease = MIN (lease, clock_of (w) + MAX_HOLD_MS);
-  w->lease = MAX (w->lease, lease);
+  lease = MIN (lease, worker_clock_ms (w) + MAX_HOLD_MS);
+  w->lease_end_ms = MAX (w->lease_end_ms, lease);
 }
 
 static json_t *
-said (const struct worker *w, const char *reason)
+make_answer (const struct worker *w, const char *reason)
 {
-  json_t *body = json_pack ("{sI sI}", "clock-ms", clock_of (w), "born", w->born);
+  json_t *body = json_pack ("{sI sI}", "clock-ms", worker_clock_ms (w), "born", w->started_ms);
 
   if (reason != NULL)
     json_object_set_new (body, "reason", json_string (reason));
@@ -152,36 +154,37 @@
 }
 
 static unsigned
-start (struct worker *w, const json_t *root, json_t **body)
+handle_start (struct worker *w, const json_t *root, json_t **body)
 {
   const char *task = json_string_value (json_object_get (root, "task"));
   int64_t number = json_integer_value (json_object_get (root, "run-id"));
   struct run *run = find_run (w, task);
 
-  *body = said (w, is_fenced (w, root) ? "fence" : NULL);
+  *body = make_answer (w, is_fenced (w, root) ? "fence" : NULL);
   if (json_object_get (*body, "reason") != NULL)
     return 409;
-  extend (w, root);
-  if (run != NULL && run->run == number)
+  extend_lease (w, root);
+  if (run != NULL && run->id == number)
     return 200;
-  w->all->overbooked += (int64_t) (w->runs.length + 1) * TASK_CPU > w->all->cpu;
-  w->crashing |= g_str_has_suffix (task, ".0")
-                 && g_strcmp0 (json_string_value (json_object_get (root, "spec")), CRASH_SPEC) == 0;
-  for (unsigned i = 0; i < w->all->n; i++)
-    w->all->twice += find_run (&w->all->workers[i], task) != NULL;
+  w->fleet->overbooked += (int64_t) (w->runs.length + 1) * TASK_CPU_MILLI > w->fleet->cpu_milli;
+  w->crash_pending
+      |= g_str_has_suffix (task, ".0")
+         && g_strcmp0 (json_string_value (json_object_get (root, "spec")), CRASH_SPEC) == 0;
+  for (unsigned i = 0; i < w->fleet->n; i++)
+    w->fleet->duplicates += find_run (&w->fleet->workers[i], task) != NULL;
   run = g_new0 (struct run, 1);
   *run = (struct run){ g_strdup (task), number, now_ms () };
   g_queue_push_tail (&w->runs, run);
-  w->all->started++;
+  w->fleet->started++;
   return 200;
 }
 
 static unsigned
-stop (struct worker *w, const json_t *root, json_t **body)
+handle_stop (struct worker *w, const json_t *root, json_t **body)
 {
   struct run *run = find_run (w, json_string_value (json_object_get (root, "task")));
 
-  *body = said (w, is_fenced (w, root) ? "fence" : NULL);
+  *body = make_answer (w, is_fenced (w, root) ? "fence" : NULL);
   if (json_object_get (*body, "reason") != NULL)
     return 409;
   if (run != NULL)
@@ -192,23 +195,23 @@
 /* ---- holds ---- */
 
 static json_t *
-show_runs (const struct worker *w)
+runs_to_json (const struct worker *w)
 {
   json_t *list = json_array ();
 
   for (const GList *l = w->runs.head; l != NULL; l = l->next)
     {
       const struct run *run = l->data;
-      int64_t percent = MIN (100 * (now_ms () - run->began) / MAX (w->all->run_ms, 1), 100);
+      int64_t percent = MIN (100 * (now_ms () - run->started_ms) / MAX (w->fleet->run_ms, 1), 100);
 
       json_array_append_new (list,
-                             json_pack ("[s, I, s, I, i]", run->task, run->run, "", percent, 0));
+                             json_pack ("[s, I, s, I, i]", run->task, run->id, "", percent, 0));
     }
   return list;
 }
 
 static json_t *
-show_ends (const struct worker *w)
+ends_to_json (const struct worker *w)
 {
   json_t *list = json_array ();
 
@@ -216,14 +219,15 @@
     {
       const struct end *end = l->data;
 
-      json_array_append_new (
-          list, json_pack ("[I, s, I, s, s]", end->number, end->task, end->run, end->how, ""));
+      json_array_append_new (list, json_pack ("[I, s, I, s, s]", end->number, end->task,
+                                              end->run_id, end->reason, ""));
     }
   return list;
 }
 
+/* Answers the holds that have run ends to report or whose time has passed. */
 static void
-answer_held (struct worker *w)
+answer_holds (struct worker *w)
 {
   GList *next;
 
@@ -233,11 +237,11 @@
       json_t *body;
 
       next = l->next;
-      if (now_ms () < held->until && (held->lost || g_queue_is_empty (&w->ends)))
+      if (now_ms () < held->deadline_ms && (held->lost || g_queue_is_empty (&w->ends)))
         continue;
-      body = said (w, NULL);
-      json_object_set_new (body, "running", show_runs (w));
-      json_object_set_new (body, "ended", show_ends (w));
+      body = make_answer (w, NULL);
+      json_object_set_new (body, "running", runs_to_json (w));
+      json_object_set_new (body, "ended", ends_to_json (w));
       fleet_answer (held->exchange, 200, body);
       g_free (held);
       g_queue_delete_link (&w->held, l);
@@ -245,17 +249,17 @@
 }
 
 static void
-hold (struct worker *w, const json_t *root, struct mt_exchange *exchange)
+handle_hold (struct worker *w, const json_t *root, struct mt_exchange *exchange)
 {
   int64_t seen = json_integer_value (json_object_get (root, "last-seen"));
   struct held *held;
 
   if (is_fenced (w, root))
     {
-      fleet_answer (exchange, 409, said (w, "fence"));
+      fleet_answer (exchange, 409, make_answer (w, "fence"));
       return;
     }
-  extend (w, root);
+  extend_lease (w, root);
   while (!g_queue_is_empty (&w->ends)
          && ((struct end *) g_queue_peek_head (&w->ends))->number <= seen)
     g_free (g_queue_pop_head (&w->ends));
@@ -264,20 +268,21 @@
       = (struct held){ exchange, now_ms () + json_integer_value (json_object_get (root, "wait-ms")),
                        seen, false };
   g_queue_push_tail (&w->held, held);
-  answer_held (w);
+  answer_holds (w);
 }
 
+/* Answers only after the caller has given up. */
 static void
 answer_late (struct worker *w, struct mt_exchange *exchange)
 {
   struct held *held = g_new0 (struct held, 1);
 
-  *held = (struct held){ exchange, now_ms () + LOST_MS, 0, true };
+  *held = (struct held){ exchange, now_ms () + LOST_ANSWER_MS, 0, true };
   g_queue_push_tail (&w->held, held);
 }
 
 static void
-on_order (void *ctx, struct mt_exchange *exchange)
+on_call (void *ctx, struct mt_exchange *exchange)
 {
   struct worker *w = ctx;
   struct mt_str text = mt_exchange_body (exchange);
@@ -286,26 +291,26 @@
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
   json_t *body = NULL;
   unsigned status = 404;
-  bool lost = ++w->all->orders % 100 < w->all->lose_percent;
+  bool lost = ++w->fleet->calls % 100 < w->fleet->lose_percent;
 
   if (w->crashed)
     answer_late (w, exchange);
-  else if (w->up_at != 0)
+  else if (w->down_until_ms != 0)
     fleet_answer (exchange, 503, json_object ());
   else if (expected == NULL || strcmp (expected, w->id) != 0)
     fleet_answer (exchange, 421, json_object ());
   else if (strcmp (path, "/hold") == 0)
-    hold (w, root, exchange);
+    handle_hold (w, root, exchange);
   else
     {
       if (strcmp (path, "/run-start") == 0)
-        status = start (w, root, &body);
+        status = handle_start (w, root, &body);
       else if (strcmp (path, "/run-stop") == 0)
-        status = stop (w, root, &body);
+        status = handle_stop (w, root, &body);
       else if (strcmp (path, "/pace") == 0)
         {
           status = 200;
-          body = said (w, NULL);
+          body = make_answer (w, NULL);
         }
       if (lost)
         {
@@ -321,49 +326,50 @@
 /* ---- registry and machines ---- */
 
 static void
-beat (struct worker *w)
+publish_entry (struct worker *w)
 {
   g_autofree char *key = g_strdup_printf ("servers/%s", w->id);
-  json_t *entry = json_pack (
-      "{ss so ss ss si ss si s{si si si} s[ss] sI sI}", "service", w->all->pool, "address",
-      json_sprintf ("127.0.0.1:%u", mt_http_front_port (w->front)), "zone", "west", "version", "v1",
-      "slots", 8, "state", "ready", "cold-remaining-ms", 0, "capacity", "cpu", (int) w->all->cpu,
-      "mem-mb", MEM, "gpu", 0, "labels", "a", "r1", "seq-no", ++w->seq, "born", w->born);
+  json_t *entry
+      = json_pack ("{ss so ss ss si ss si s{si si si} s[ss] sI sI}", "service", w->fleet->pool,
+                   "address", json_sprintf ("127.0.0.1:%u", mt_http_front_port (w->front)), "zone",
+                   "west", "version", "v1", "slots", 8, "state", "ready", "cold-remaining-ms", 0,
+                   "capacity", "cpu", (int) w->fleet->cpu_milli, "mem-mb", WORKER_MEMORY_MB, "gpu",
+                   0, "labels", "a", "r1", "seq-no", ++w->seq, "born", w->started_ms);
   char *text = json_dumps (entry, JSON_COMPACT);
 
-  fleet_store_put (w->all->store, key, text);
+  fleet_store_put (w->fleet->store, key, text);
   free (text);
   json_decref (entry);
 }
 
 static void
-begin_life (struct worker *w)
+start_incarnation (struct worker *w)
 {
   g_free (w->id);
-  w->id = g_strdup_printf ("i-%s-%u", w->machine, ++w->lives);
-  w->born = now_ms ();
-  w->up_at = 0;
-  w->crashing = w->crashed = false;
-  w->token = w->lease = w->last_end = 0;
-  beat (w);
+  w->id = g_strdup_printf ("i-%s-%u", w->machine, ++w->incarnations);
+  w->started_ms = now_ms ();
+  w->down_until_ms = 0;
+  w->crash_pending = w->crashed = false;
+  w->fencing_token = w->lease_end_ms = w->last_end_number = 0;
+  publish_entry (w);
 }
 
 static void
-go_down (struct worker *w)
+start_maintenance (struct worker *w)
 {
   g_autofree char *key = g_strdup_printf ("servers/%s", w->id);
   unsigned down = 0;
 
-  end_all (w, "stopped");
+  end_all_runs (w, "stopped");
   g_queue_clear_full (&w->ends, g_free);
-  w->up_at = now_ms () + UPKEEP_MS;
-  fleet_store_put (w->all->store, key, NULL);
-  for (unsigned i = 0; i < w->all->n; i++)
-    down += w->all->workers[i].up_at != 0;
-  w->all->down_most = MAX (w->all->down_most, down);
+  w->down_until_ms = now_ms () + MAINTENANCE_MS;
+  fleet_store_put (w->fleet->store, key, NULL);
+  for (unsigned i = 0; i < w->fleet->n; i++)
+    down += w->fleet->workers[i].down_until_ms != 0;
+  w->fleet->max_down = MAX (w->fleet->max_down, down);
 }
 
-/* Its entry stays until it is back as another life. */
+/* Drops all runs. The registry entry stays until the worker restarts as a new incarnation. */
 static void
 crash (struct worker *w)
 {
@@ -380,47 +386,48 @@
       struct held *held = l->data;
 
       held->lost = true;
-      held->until = now_ms () + LOST_MS;
+      held->deadline_ms = now_ms () + LOST_ANSWER_MS;
     }
-  w->crashing = false;
+  w->crash_pending = false;
   w->crashed = true;
-  w->up_at = now_ms () + CRASH_MS;
-  w->all->crashes++;
+  w->down_until_ms = now_ms () + CRASH_DOWN_MS;
+  w->fleet->crashes++;
 }
 
 static void
-list_machines (const struct fleet_workers *all, struct mt_exchange *exchange)
+list_machines (const struct fleet_workers *fleet, struct mt_exchange *exchange)
 {
   json_t *list = json_array ();
 
-  for (unsigned i = 0; i < all->n; i++)
+  for (unsigned i = 0; i < fleet->n; i++)
     {
-      const struct worker *w = &all->workers[i];
-
-      json_array_append_new (list,
-                             json_pack ("{ss ss ss ss s[ss] s{si si si} ss}", "machine", w->machine,
-                                        "pool", all->pool, "state", w->up_at != 0 ? "upkeep" : "up",
-                                        "zone", "west", "labels", "a", "r1", "capacity", "cpu", CPU,
-                                        "mem-mb", MEM, "gpu", 0, "id", w->up_at != 0 ? "" : w->id));
+      const struct worker *w = &fleet->workers[i];
+
+      json_array_append_new (list, json_pack ("{ss ss ss ss s[ss] s{si si si} ss}", "machine",
+                                              w->machine, "pool", fleet->pool, "state",
+                                              w->down_until_ms != 0 ? "upkeep" : "up", "zone",
+                                              "west", "labels", "a", "r1", "capacity", "cpu",
+                                              WORKER_CPU_MILLI, "mem-mb", WORKER_MEMORY_MB, "gpu",
+                                              0, "id", w->down_until_ms != 0 ? "" : w->id));
     }
   fleet_answer (exchange, 200, json_pack ("{so sn}", "machines", list, "next-token"));
 }
 
 static bool
-is_old_token (struct fleet_workers *all, const char *machine, int64_t token)
+is_stale_machine_token (struct fleet_workers *fleet, const char *machine, int64_t token)
 {
-  int64_t *highest = g_hash_table_lookup (all->token_of, machine);
+  int64_t *highest = g_hash_table_lookup (fleet->machine_tokens, machine);
 
   if (highest != NULL && *highest > token)
     return true;
   highest = g_new (int64_t, 1);
   *highest = token;
-  g_hash_table_replace (all->token_of, g_strdup (machine), highest);
+  g_hash_table_replace (fleet->machine_tokens, g_strdup (machine), highest);
   return false;
 }
 
 void
-fleet_workers_handle_machines (struct fleet_workers *all, struct mt_exchange *exchange)
+fleet_workers_handle_machines (struct fleet_workers *fleet, struct mt_exchange *exchange)
 {
   struct mt_str text = mt_exchange_body (exchange);
   json_t *root = json_loadb (text.data, text.len, 0, NULL);
@@ -428,66 +435,66 @@
   const char *token = mt_exchange_header (exchange, "X-Medlartrack-Fencing-Token");
   struct worker *found = NULL;
 
-  for (unsigned i = 0; machine != NULL && i < all->n; i++)
-    if (strcmp (all->workers[i].machine, machine) == 0)
-      found = &all->workers[i];
+  for (unsigned i = 0; machine != NULL && i < fleet->n; i++)
+    if (strcmp (fleet->workers[i].machine, machine) == 0)
+      found = &fleet->workers[i];
   if (strcmp (mt_exchange_path (exchange), "/machines") == 0)
-    list_machines (all, exchange);
+    list_machines (fleet, exchange);
   else if (found == NULL || strcmp (mt_exchange_path (exchange), "/machine-upkeep") != 0)
     fleet_answer (exchange, 400, json_object ());
-  else if (token == NULL || is_old_token (all, machine, atoll (token)))
+  else if (token == NULL || is_stale_machine_token (fleet, machine, atoll (token)))
     fleet_answer (exchange, 409, json_pack ("{ss}", "reason", "fence"));
-  else if (found->up_at != 0)
+  else if (found->down_until_ms != 0)
     fleet_answer (exchange, 409, json_pack ("{ss}", "reason", "busy"));
   else
     {
-      go_down (found);
+      start_maintenance (found);
       fleet_answer (exchange, 200, json_object ());
     }
   json_decref (root);
 }
 
-/* ---- time ---- */
+/* ---- timer ---- */
 
 static void
-work (struct worker *w)
+advance_worker (struct worker *w)
 {
   GList *next;
 
-  if (w->crashing)
+  if (w->crash_pending)
     crash (w);
-  if (w->up_at != 0 && now_ms () >= w->up_at)
-    begin_life (w);
-  if (w->lease != 0 && clock_of (w) > w->lease)
+  if (w->down_until_ms != 0 && now_ms () >= w->down_until_ms)
+    start_incarnation (w);
+  if (w->lease_end_ms != 0 && worker_clock_ms (w) > w->lease_end_ms)
     {
-      w->all->lapsed += w->runs.length;
-      end_all (w, "lapsed");
+      w->fleet->lapsed += w->runs.length;
+      end_all_runs (w, "lapsed");
     }
   for (GList *l = w->runs.head; l != NULL; l = next)
     {
       struct run *run = l->data;
 
       next = l->next;
-      if (w->all->run_ms > 0 && now_ms () - run->began >= w->all->run_ms)
+      if (w->fleet->run_ms > 0 && now_ms () - run->started_ms >= w->fleet->run_ms)
         end_run (w, run, "done");
     }
-  answer_held (w);
+  answer_holds (w);
 }
 
 static void
 on_tick (evutil_socket_t fd, short what, void *ctx)
 {
-  struct fleet_workers *all = ctx;
-  bool beats = now_ms () >= all->beat_at;
+  struct fleet_workers *fleet = ctx;
+  bool heartbeat_due = now_ms () >= fleet->next_heartbeat_ms;
 
-  for (unsigned i = 0; i < all->n; i++)
+  for (unsigned i = 0; i < fleet->n; i++)
     {
-      work (&all->workers[i]);
-      if (beats && all->workers[i].up_at == 0)
-        beat (&all->workers[i]);
+      advance_worker (&fleet->workers[i]);
+      if (heartbeat_due && fleet->workers[i].down_until_ms == 0)
+        publish_entry (&fleet->workers[i]);
     }
-  if (beats)
-    all->beat_at = now_ms () + BEAT_MS;
+  if (heartbeat_due)
+    fleet->next_heartbeat_ms = now_ms () + HEARTBEAT_MS;
 }
 
 struct fleet_workers *
@@ -498,56 +505,56 @@
                       unsigned run_ms)
 {
   static const struct timeval tick = { 0, TICK_MS * 1000 };
-  struct fleet_workers *all = g_new0 (struct fleet_workers, 1);
-  struct event *timer = event_new (base, -1, EV_PERSIST, on_tick, all);
-
-  all->base = base;
-  all->store = store;
-  all->pool = g_strdup (pool);
-  all->n = n;
-  all->run_ms = run_ms;
-  all->cpu = CPU;
-  all->workers = g_new0 (struct worker, n);
-  all->token_of = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  struct fleet_workers *fleet = g_new0 (struct fleet_workers, 1);
+  struct event *timer = event_new (base, -1, EV_PERSIST, on_tick, fleet);
+
+  fleet->base = base;
+  fleet->store = store;
+  fleet->pool = g_strdup (pool);
+  fleet->n = n;
+  fleet->run_ms = run_ms;
+  fleet->cpu_milli = WORKER_CPU_MILLI;
+  fleet->workers = g_new0 (struct worker, n);
+  fleet->machine_tokens = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (unsigned i = 0; i < n; i++)
     {
-      struct worker *w = &all->workers[i];
+      struct worker *w = &fleet->workers[i];
       struct mt_http_front_options options = { .address = "127.0.0.1:0",
                                                .connections = 64,
                                                .idle_s = 60,
                                                .body_bytes = 65536,
-                                               .handle = on_order,
+                                               .handle = on_call,
                                                .ctx = w };
 
-      w->all = all;
+      w->fleet = fleet;
       w->machine = g_strdup_printf ("m%u", i);
       w->front = mt_http_front_create (base, &options, NULL);
-      begin_life (w);
+      start_incarnation (w);
     }
   event_add (timer, &tick);
-  return all;
+  return fleet;
 }
 
 json_t *
-fleet_workers_report (const struct fleet_workers *all)
+fleet_workers_report (const struct fleet_workers *fleet)
 {
   unsigned running = 0;
 
-  for (unsigned i = 0; i < all->n; i++)
-    running += all->workers[i].runs.length;
-  return json_pack ("{si si si si si si si}", "started", all->started, "twice", all->twice,
-                    "running", running, "lapsed", all->lapsed, "down_most", all->down_most,
-                    "crashes", all->crashes, "overbooked", all->overbooked);
+  for (unsigned i = 0; i < fleet->n; i++)
+    running += fleet->workers[i].runs.length;
+  return json_pack ("{si si si si si si si}", "started", fleet->started, "twice", fleet->duplicates,
+                    "running", running, "lapsed", fleet->lapsed, "down_most", fleet->max_down,
+                    "crashes", fleet->crashes, "overbooked", fleet->overbooked);
 }
 
 void
-fleet_workers_resize (struct fleet_workers *all, int64_t cpu)
+fleet_workers_resize (struct fleet_workers *fleet, int64_t cpu)
 {
-  all->cpu = cpu;
+  fleet->cpu_milli = cpu;
 }
 
 void
-fleet_workers_lose (struct fleet_workers *all, unsigned percent)
+fleet_workers_lose_answers (struct fleet_workers *fleet, unsigned percent)
 {
-  all->lose_percent = percent;
+  fleet->lose_percent = percent;
 }
--- a/tests/standins/fleet_workers.h
+++ b/tests/standins/fleet_workers.h
@@ -1,5 +1,7 @@
-/* Workers and machines of the platform's stand-in, by the published protocol: runs under leases and
- * fencing tokens, ends that are listed until they are acknowledged, upkeep. One thread. */
+/* Workers and machines of the platform stand-in, as in the published protocol: runs under leases
+ * and fencing tokens, ends of runs that are reported until acknowledged, and maintenance.
+ * Single-threaded.
+ */
 #ifndef FLEET_WORKERS_H
 #define FLEET_WORKERS_H
 
@@ -7,19 +9,20 @@
 
 struct fleet_workers;
 
+/* Creates n workers, each on a machine of its own. A task runs for run_ms; 0: until it is stopped.
+ */
 struct fleet_workers *fleet_workers_create (struct event_base *base,
                                             struct fleet_store *store,
                                             const char *pool,
                                             unsigned n,
                                             unsigned run_ms);
-/* Moves and upkeep of machines. */
-void fleet_workers_handle_machines (struct fleet_workers *all, struct mt_exchange *exchange);
+/* Handles the calls that list machines and order their maintenance. */
+void fleet_workers_handle_machines (struct fleet_workers *fleet, struct mt_exchange *exchange);
 /* {"started", "twice", "running", "lapsed", "down_most", "crashes", "overbooked"} */
-json_t *fleet_workers_report (const struct fleet_workers *all);
-/* From now on each worker has room for so many thousandths of a core; a task is taken to need 1000.
- */
-void fleet_workers_resize (struct fleet_workers *all, int64_t cpu);
-/* A share, in percent, of the orders is carried out and not answered. */
-void fleet_workers_lose (struct fleet_workers *all, unsigned percent);
+json_t *fleet_workers_report (const struct fleet_workers *fleet);
+/* Sets the capacity of each worker in thousandths of a core. A task counts as 1000. */
+void fleet_workers_resize (struct fleet_workers *fleet, int64_t cpu);
+/* This percentage of the starts, stops and pace calls is carried out and not answered in time. */
+void fleet_workers_lose_answers (struct fleet_workers *fleet, unsigned percent);
 
 #endif
--- a/tests/standins/minion_main.c
+++ b/tests/standins/minion_main.c
@@ -1,11 +1,13 @@
-/* A stand-in for a minion: runs each request it gets, counts runs by key, and fails on request.
+/* A stand-in for a minion: runs each request, counts runs by idempotency key, and fails on request.
  *
  *   medlartrack-standin-minion [ADDRESS [NAME [WORK_MS [SLOTS]]]]
- *   with SLOTS it refuses (503, not run) while so many requests run
- *   PUT /fault {"mode": MODE, "times": n, "delay_ms": n}; times -1 is for ever. Modes: "none",
- *       "error" (500), "drop" (runs, then closes), "crossed" (another request's id), "oversized",
- *       "refuse" (503, not run), "leaving" (503, not run, and says that it leaves)
- *   GET /runs -> {"total": n, "epoch": n, "running": n, "most": n, "keys": {key: n}}
+ *   With SLOTS it refuses a request (503, not run) while that many are running.
+ *   PUT /fault {"mode": MODE, "times": n, "delay_ms": n}: sets the mode of the next n requests; -1:
+ *       of all. Modes: "none", "error" (500), "drop" (runs, then closes the connection), "crossed"
+ *       (answers with another request's id), "oversized" (an 8 MB body), "refuse" (503, not run),
+ *       "leaving" (503, not run, with the header Medlartrack-Leaving)
+ *   GET /runs -> {"total": n, "epoch": n, "running": n, "most": n, "keys": {key: n}}; "most" is the
+ *       highest number of requests running at once
  */
 #include "standin.h"
 
@@ -19,14 +21,14 @@
   unsigned work_ms;
   unsigned slots;   /* 0: no limit */
   GMutex lock;      /* guards all below */
-  GHashTable *runs; /* idempotency key -> times run */
+  GHashTable *runs; /* idempotency key -> number of runs */
   unsigned total;
   unsigned running;
-  unsigned most_running;
+  unsigned max_running;
   char *mode;
-  int times;
+  int fault_requests_left; /* -1: no limit */
   unsigned delay_ms;
-  guint64 epoch; /* newest of the records that gave it work; older ones are refused */
+  guint64 epoch; /* newest assignment epoch seen; requests of older ones are refused */
 };
 
 static void
@@ -39,7 +41,7 @@
   g_mutex_lock (&minion->lock);
   g_free (minion->mode);
   minion->mode = g_strdup (mode != NULL ? mode : "none");
-  minion->times = times != NULL ? (int) json_integer_value (times) : -1;
+  minion->fault_requests_left = times != NULL ? (int) json_integer_value (times) : -1;
   minion->delay_ms = (unsigned) json_integer_value (json_object_get (body, "delay_ms"));
   g_mutex_unlock (&minion->lock);
   json_decref (body);
@@ -61,23 +63,23 @@
   standin_answer_json (request, 200,
                        json_pack ("{si sI si si so}", "total", (int) minion->total, "epoch",
                                   (json_int_t) minion->epoch, "running", (int) minion->running,
-                                  "most", (int) minion->most_running, "keys", keys));
+                                  "most", (int) minion->max_running, "keys", keys));
   g_mutex_unlock (&minion->lock);
 }
 
-/* The mode for this request; counts it down. */
+/* Returns the mode for this request and uses up one faulty request. The lock is held. */
 static char *
 take_mode (struct minion *minion, unsigned *delay_ms)
 {
   char *mode = g_strdup ("none");
 
-  if (minion->times != 0 && minion->mode != NULL)
+  if (minion->fault_requests_left != 0 && minion->mode != NULL)
     {
       g_free (mode);
       mode = g_strdup (minion->mode);
       *delay_ms = minion->delay_ms;
-      if (minion->times > 0)
-        minion->times--;
+      if (minion->fault_requests_left > 0)
+        minion->fault_requests_left--;
     }
   return mode;
 }
@@ -93,7 +95,7 @@
   g_hash_table_insert (minion->runs, g_strdup (name), GINT_TO_POINTER (runs + 1));
   minion->total++;
   minion->running++;
-  minion->most_running = MAX (minion->most_running, minion->running);
+  minion->max_running = MAX (minion->max_running, minion->running);
 }
 
 static void
@@ -142,14 +144,15 @@
   request->answer.n_headers = strcmp (mode, "leaving") == 0 ? 2 : 1;
 }
 
-/* The lock is held. */
+/* True if all slots are in use. The lock is held. */
 static bool
 is_full (const struct minion *minion)
 {
   return minion->slots > 0 && minion->running >= minion->slots;
 }
 
-/* Whether the work was given by a record that is no longer the newest; the lock is held. */
+/* True if the request's assignment epoch is older than the newest one seen, which it updates. The
+ * lock is held. */
 static bool
 is_outdated (struct minion *minion, const struct mt_http_request *request)
 {
--- a/tests/standins/platform_instances.c
+++ b/tests/standins/platform_instances.c
@@ -8,9 +8,9 @@
 struct instance
 {
   char *state;
-  json_int_t boot;
-  json_int_t epoch;
-  gint64 back_us; /* when a reboot ends; 0: none under way */
+  json_int_t boot;      /* counts boots */
+  json_int_t epoch;     /* of the newest reboot order */
+  gint64 reboot_end_us; /* 0: no reboot in progress */
 };
 
 struct platform_instances
@@ -37,24 +37,24 @@
 struct platform_instances *
 platform_instances_create (void)
 {
-  struct platform_instances *all = g_new0 (struct platform_instances, 1);
+  struct platform_instances *instances = g_new0 (struct platform_instances, 1);
 
-  all->by_name = g_tree_new_full (compare, NULL, g_free, free_instance);
-  all->reboot_ms = REBOOT_MS;
-  return all;
+  instances->by_name = g_tree_new_full (compare, NULL, g_free, free_instance);
+  instances->reboot_ms = REBOOT_MS;
+  return instances;
 }
 
 static struct instance *
-find (struct platform_instances *all, const char *name)
+find_or_add (struct platform_instances *instances, const char *name)
 {
-  struct instance *instance = g_tree_lookup (all->by_name, name);
+  struct instance *instance = g_tree_lookup (instances->by_name, name);
 
   if (instance != NULL)
     return instance;
   instance = g_new0 (struct instance, 1);
   instance->state = g_strdup ("live");
   instance->boot = 1;
-  g_tree_insert (all->by_name, g_strdup (name), instance);
+  g_tree_insert (instances->by_name, g_strdup (name), instance);
   return instance;
 }
 
@@ -68,15 +68,15 @@
 static void
 end_reboot (struct instance *instance, gint64 now_us)
 {
-  if (instance->back_us == 0 || now_us < instance->back_us)
+  if (instance->reboot_end_us == 0 || now_us < instance->reboot_end_us)
     return;
-  instance->back_us = 0;
+  instance->reboot_end_us = 0;
   instance->boot++;
   set_state (instance, "live");
 }
 
 void
-platform_instances_set (struct platform_instances *all, const json_t *body, gint64 now_us)
+platform_instances_set (struct platform_instances *instances, const json_t *body, gint64 now_us)
 {
   const json_t *reboot_ms = json_object_get (body, "reboot_ms");
   const char *name = json_string_value (json_object_get (body, "name"));
@@ -84,10 +84,10 @@
   struct instance *instance;
 
   if (reboot_ms != NULL)
-    all->reboot_ms = json_integer_value (reboot_ms);
+    instances->reboot_ms = json_integer_value (reboot_ms);
   if (name == NULL || state == NULL)
     return;
-  instance = find (all, name);
+  instance = find_or_add (instances, name);
   end_reboot (instance, now_us);
   if (strcmp (state, "live") == 0 && strcmp (instance->state, "live") != 0)
     instance->boot++;
@@ -95,18 +95,18 @@
 }
 
 bool
-platform_instances_reboot (struct platform_instances *all,
+platform_instances_reboot (struct platform_instances *instances,
                            const char *name,
                            guint64 epoch,
                            gint64 now_us)
 {
-  struct instance *instance = find (all, name);
+  struct instance *instance = find_or_add (instances, name);
 
   if ((json_int_t) epoch <= instance->epoch)
     return false;
   instance->epoch = (json_int_t) epoch;
   set_state (instance, "down");
-  instance->back_us = now_us + all->reboot_ms * 1000;
+  instance->reboot_end_us = now_us + instances->reboot_ms * 1000;
   return true;
 }
 
@@ -130,14 +130,14 @@
 }
 
 char *
-platform_instances_text (struct platform_instances *all, gint64 now_us)
+platform_instances_text (struct platform_instances *instances, gint64 now_us)
 {
   struct rendering rendering = { json_array (), now_us };
   json_t *root;
   char *text;
   char *copy;
 
-  g_tree_foreach (all->by_name, render, &rendering);
+  g_tree_foreach (instances->by_name, render, &rendering);
   root = json_pack ("{so}", "instances", rendering.rows);
   text = json_array_size (rendering.rows) > 0 ? json_dumps (root, JSON_COMPACT) : NULL;
   json_decref (root);
--- a/tests/standins/platform_instances.h
+++ b/tests/standins/platform_instances.h
@@ -1,5 +1,5 @@
-/* The platform's instances, as its stand-in keeps them: who is live, leaving, down or gone, and the
- * reboots ordered, each fenced by an epoch. Guarded by the service's lock. */
+/* The instances of the platform stand-in: their states (live, leaving, down or gone) and reboots,
+ * which are fenced by an epoch. Not thread-safe: the caller holds the service's lock. */
 #ifndef PLATFORM_INSTANCES_H
 #define PLATFORM_INSTANCES_H
 
@@ -10,14 +10,17 @@
 struct platform_instances;
 
 struct platform_instances *platform_instances_create (void);
-/* {"name", "state"} sets one instance, {"reboot_ms"} how long a reboot takes. */
-void platform_instances_set (struct platform_instances *all, const json_t *body, gint64 now_us);
-/* False where the epoch isn't newer than the newest one that was ordered. */
-bool platform_instances_reboot (struct platform_instances *all,
+/* Handles the body of PUT /instances: "name" and "state" set the state of an instance, "reboot_ms"
+ * the duration of reboots. */
+void
+platform_instances_set (struct platform_instances *instances, const json_t *body, gint64 now_us);
+/* Starts a reboot. Returns false if the epoch is not newer than that of the last reboot order. */
+bool platform_instances_reboot (struct platform_instances *instances,
                                 const char *name,
                                 guint64 epoch,
                                 gint64 now_us);
-/* The list as the platform publishes it, to g_free; NULL while it has no instance. */
-char *platform_instances_text (struct platform_instances *all, gint64 now_us);
+/* Returns the list of instances as the platform publishes it, to be freed with g_free, or NULL if
+ * there are none. */
+char *platform_instances_text (struct platform_instances *instances, gint64 now_us);
 
 #endif
--- a/tests/standins/platform_main.c
+++ b/tests/standins/platform_main.c
@@ -1,32 +1,33 @@
-/* A stand-in for the platform's key-value service: compare-and-swap, leases and watches by the
+/* A stand-in for the platform's key-value service: compare-and-swap, leases and watches as in the
  * published HTTP protocol, and faults on request.
  *
  *   PUT /fault {"down": bool, "slow_ms": n, "lose_answers": n}
  *   PUT /instances {"name", "state": "live" | "leaving" | "down" | "gone", "reboot_ms": n}
- *   PUT /v1/instance/NAME/reboot?epoch=N; the list is the value of platform/instances
- *   GET /calls  -> {"reads": n, "read_bytes": n, "writes": n, "dropped": n}, a waiting watch
- * counted as one read; dropped are those that came while it was down
- */
+ *   PUT /v1/instance/NAME/reboot?epoch=N
+ *   GET /calls -> {"reads": n, "read_bytes": n, "writes": n, "dropped": n}; a waiting watch counts
+ *       as one read; dropped counts calls received while the service was down
+ *
+ * The instances are published as the value of the key platform/instances. */
 #include "platform_instances.h"
 #include "standin.h"
 
 #include <string.h>
 
-#define MAX_VALUE     (1024 * 1024)
-#define INSTANCES_KEY "platform/instances"
+#define MAX_VALUE_BYTES (1024 * 1024)
+#define INSTANCES_KEY   "platform/instances"
 
 struct entry
 {
   char *value;
   size_t len;
   uint64_t index;
-  char *session; /* that holds it, or NULL */
+  char *session; /* id of the session that holds the key, or NULL */
 };
 
 struct session
 {
   int64_t ttl_us;
-  int64_t lapses_us;
+  int64_t expires_us;
 };
 
 struct service
@@ -39,12 +40,12 @@
   uint64_t index;
   uint64_t next_session;
   uint64_t reads;
-  uint64_t read_bytes; /* of answers to reads */
+  uint64_t read_bytes; /* bodies of answers to reads */
   uint64_t writes;
   uint64_t dropped;
   bool down;
   unsigned slow_ms;
-  unsigned lose_answers; /* so many next writes take effect and are not answered */
+  unsigned lose_answers; /* number of next writes that take effect and are not answered */
 };
 
 static void
@@ -80,25 +81,25 @@
 }
 
 static gboolean
-drop_if_lapsed (gpointer id, gpointer value, gpointer data)
+remove_if_expired (gpointer id, gpointer value, gpointer data)
 {
   struct service *service = data;
   const struct session *session = value;
 
-  if (session->lapses_us > now_us ())
+  if (session->expires_us > now_us ())
     return FALSE;
   g_tree_foreach (service->entries, release_if_held, id);
   return TRUE;
 }
 
 static void
-lapse_sessions (struct service *service)
+expire_sessions (struct service *service)
 {
-  g_hash_table_foreach_remove (service->sessions, drop_if_lapsed, service);
+  g_hash_table_foreach_remove (service->sessions, remove_if_expired, service);
 }
 
 static json_t *
-describe (const char *key, const struct entry *entry)
+entry_to_json (const char *key, const struct entry *entry)
 {
   g_autofree char *encoded = g_base64_encode ((const guchar *) entry->value, entry->len);
   json_t *out = json_pack ("{ss ss sI sI}", "Key", key, "Value", encoded, "ModifyIndex",
@@ -124,7 +125,7 @@
   if (!g_str_has_prefix (key, walk->prefix))
     return FALSE;
   if (walk->list != NULL)
-    json_array_append_new (walk->list, describe (key, value));
+    json_array_append_new (walk->list, entry_to_json (key, value));
   if (walk->keys != NULL)
     g_ptr_array_add (walk->keys, key);
   return FALSE;
@@ -146,29 +147,29 @@
   return FALSE;
 }
 
-/* The index that a watch is told: of the key, or of all keys that begin so. */
+/* The index that a watch compares: that of the key, or the highest of the keys with this prefix. */
 static uint64_t
-current_index (struct service *service, const char *key, bool names)
+current_index (struct service *service, const char *key, bool by_prefix)
 {
   const struct entry *entry = g_tree_lookup (service->entries, key);
   struct newest newest = { key, 0 };
 
-  if (!names)
+  if (!by_prefix)
     return entry != NULL ? entry->index : 0;
   g_tree_foreach (service->entries, find_newest, &newest);
   return newest.index;
 }
 
-/* The lock is held; waits for the index to differ from the one given. */
+/* Waits until the index differs from the given one, or for `wait` ms. The lock is held. */
 static void
 wait_for_change (
-    struct service *service, const char *key, bool names, const char *index, const char *wait)
+    struct service *service, const char *key, bool by_prefix, const char *index, const char *wait)
 {
   uint64_t known = g_ascii_strtoull (index, NULL, 10);
   int64_t until
       = g_get_monotonic_time () + (int64_t) (wait != NULL ? strtoll (wait, NULL, 10) : 0) * MT_MS;
 
-  while (current_index (service, key, names) == known && !service->down
+  while (current_index (service, key, by_prefix) == known && !service->down
          && g_cond_wait_until (&service->changed, &service->lock, until))
     ;
 }
@@ -184,7 +185,7 @@
 }
 
 static void
-tell_index (struct mt_http_request *request, uint64_t index)
+set_index_header (struct mt_http_request *request, uint64_t index)
 {
   g_autofree char *text = g_strdup_printf ("%" G_GUINT64_FORMAT, index);
   struct mt_http_header *header = mt_arena_alloc (request->arena, sizeof *header);
@@ -200,28 +201,28 @@
 {
   g_autofree char *index = standin_query (request, "index");
   g_autofree char *wait = standin_query (request, "wait");
-  bool names = standin_has_query (request, "keys");
+  bool by_prefix = standin_has_query (request, "keys");
   struct walk walk = { key, json_array (), NULL };
   const struct entry *entry;
 
   service->reads++;
-  /* By the published protocol an index of 0 does not wait. */
+  /* In the published protocol an index of 0 does not wait. */
   if (index != NULL && strcmp (index, "0") != 0)
-    wait_for_change (service, key, names, index, wait);
+    wait_for_change (service, key, by_prefix, index, wait);
   if (service->down)
     {
       json_decref (walk.list);
       request->answer.status = MT_HTTP_DROP;
       return;
     }
-  if (names)
+  if (by_prefix)
     g_tree_foreach (service->entries, collect_name, &walk);
   else if (standin_has_query (request, "recurse"))
     g_tree_foreach (service->entries, collect, &walk);
   else if ((entry = g_tree_lookup (service->entries, key)) != NULL)
-    json_array_append_new (walk.list, describe (key, entry));
+    json_array_append_new (walk.list, entry_to_json (key, entry));
   standin_answer_json (request, json_array_size (walk.list) > 0 ? 200 : 404, walk.list);
-  tell_index (request, current_index (service, key, names));
+  set_index_header (request, current_index (service, key, by_prefix));
   service->read_bytes += request->answer.body.len;
 }
 
@@ -261,7 +262,7 @@
   g_autofree char *acquire = standin_query (request, "acquire");
   g_autofree char *held = g_strdup (entry != NULL ? entry->session : NULL);
 
-  if (request->body.len > MAX_VALUE)
+  if (request->body.len > MAX_VALUE_BYTES)
     {
       standin_answer_text (request, 413, "value too large");
       return;
@@ -301,7 +302,7 @@
   char *id = g_strdup_printf ("session-%" G_GUINT64_FORMAT, ++service->next_session);
 
   session->ttl_us = (ttl != NULL ? strtoll (ttl, NULL, 10) : 10) * MT_SECOND;
-  session->lapses_us = now_us () + session->ttl_us;
+  session->expires_us = now_us () + session->ttl_us;
   g_hash_table_insert (service->sessions, id, session);
   standin_answer_json (request, 200, json_pack ("{ss}", "ID", id));
   json_decref (body);
@@ -319,7 +320,7 @@
     {
       session = g_hash_table_lookup (service->sessions, rest + strlen ("renew/"));
       if (session != NULL)
-        session->lapses_us = now_us () + session->ttl_us;
+        session->expires_us = now_us () + session->ttl_us;
       standin_answer_text (request, session != NULL ? 200 : 404, "[]");
     }
   else if (g_str_has_prefix (rest, "destroy/"))
@@ -329,7 +330,7 @@
       standin_answer_text (request, 200, "true");
     }
   else
-    standin_answer_text (request, 404, "no such call");
+    standin_answer_text (request, 404, "unknown path");
 }
 
 static void
@@ -365,7 +366,7 @@
     }
 }
 
-/* The list is a value like any other to those who read it. */
+/* Writes the list of instances, if it has changed, as the value of an ordinary key. */
 static void
 publish_instances (struct service *service)
 {
@@ -430,7 +431,7 @@
   else if (g_str_has_prefix (path, "/v1/session/"))
     handle_session (service, request, path + strlen ("/v1/session/"));
   else
-    standin_answer_text (request, 404, "no such call");
+    standin_answer_text (request, 404, "unknown path");
 }
 
 static void
@@ -445,7 +446,7 @@
   g_mutex_unlock (&service->lock);
   g_usleep (slow_ms * 1000UL);
   g_mutex_lock (&service->lock);
-  lapse_sessions (service);
+  expire_sessions (service);
   publish_instances (service);
   route (service, request, path);
   g_mutex_unlock (&service->lock);
--- a/tests/standins/processes.sh
+++ b/tests/standins/processes.sh
@@ -1,5 +1,6 @@
-# Sourced by scripts that run real processes: a work folder, programs that are ended at exit by pid, and
-# waits on events. The script sets `name` for its messages before.
+# Sourced by scripts that run real processes: a work folder, programs that are killed by pid at
+# exit, and waits with a time limit. The script sets `name`, the prefix of error messages, before
+# that.
 work=$(mktemp -d)
 pids=""
 finish () {
@@ -10,7 +11,7 @@
 trap finish EXIT
 fail () { echo "$name: $*" >&2; exit 1; }
 
-# start ID PROGRAM [ARGS]: sets port_ID and pid_ID once the program has printed its port.
+# start ID PROGRAM [ARGS]: runs it, waits for its port, and sets port_ID and pid_ID.
 start () {
   local id=$1; shift
   "$@" >"$work/$id.log" 2>&1 &
@@ -24,11 +25,11 @@
   fail "$id did not start"
 }
 
-# until_true COMMAND: waits for an event, with a generous limit.
+# until_true COMMAND: repeats the command until it succeeds; fails after 600 tries, 50 ms apart.
 until_true () {
   for _ in $(seq 600); do "$@" && return; sleep 0.05; done
-  fail "never: $*"
+  fail "timed out waiting for: $*"
 }
 
-# serves PORT PATH
+# serves PORT PATH: true if a GET is answered with 200.
 serves () { [ "$(curl -s -o /dev/null -w '%{http_code}' "http://127.0.0.1:$1$2")" = 200 ]; }
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -4,18 +4,18 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CONNECTIONS 4096
-#define IDLE_S      120
-#define BODY_BYTES  (2UL * 1024 * 1024)
+#define MAX_CONNECTIONS 4096
+#define IDLE_S          120
+#define MAX_BODY_BYTES  (2UL * 1024 * 1024)
 
 int
 standin_serve (const char *address, void (*handle) (void *, struct mt_http_request *), void *ctx)
 {
   struct mt_http_server_options options = {
     .address = address,
-    .connections = CONNECTIONS,
+    .connections = MAX_CONNECTIONS,
     .idle_s = IDLE_S,
-    .body_bytes = BODY_BYTES,
+    .body_bytes = MAX_BODY_BYTES,
     .request_memory = 0,
     .clock = mt_clock_system (),
     .handle = handle,
@@ -23,13 +23,13 @@
   };
   g_autoptr (GError) error = NULL;
   struct mt_http_server *server;
-  sigset_t set;
-  int number;
+  sigset_t signals;
+  int signal_number;
 
-  sigemptyset (&set);
-  sigaddset (&set, SIGTERM);
-  sigaddset (&set, SIGINT);
-  pthread_sigmask (SIG_BLOCK, &set, NULL);
+  sigemptyset (&signals);
+  sigaddset (&signals, SIGTERM);
+  sigaddset (&signals, SIGINT);
+  pthread_sigmask (SIG_BLOCK, &signals, NULL);
   signal (SIGPIPE, SIG_IGN);
   server = mt_http_server_create (&options, &error);
   if (server == NULL)
@@ -39,8 +39,8 @@
     }
   printf ("port=%u\n", mt_http_server_port (server));
   fflush (stdout);
-  sigwait (&set, &number);
-  /* Requests may hang on purpose: the process ends without waiting for them. */
+  sigwait (&signals, &signal_number);
+  /* Requests may hang on purpose: exit without waiting for them. */
   _exit (0);
 }
 
@@ -64,15 +64,16 @@
 static const char *
 find_query (const struct mt_http_request *request, const char *name)
 {
-  const char *at = strchr (request->path.data, '?');
+  const char *param = strchr (request->path.data, '?');
   size_t len = strlen (name);
 
-  while (at != NULL)
+  while (param != NULL)
     {
-      at++;
-      if (strncmp (at, name, len) == 0 && (at[len] == '=' || at[len] == '&' || at[len] == '\0'))
-        return at + len;
-      at = strchr (at, '&');
+      param++;
+      if (strncmp (param, name, len) == 0
+          && (param[len] == '=' || param[len] == '&' || param[len] == '\0'))
+        return param + len;
+      param = strchr (param, '&');
     }
   return NULL;
 }
@@ -80,9 +81,9 @@
 char *
 standin_query (const struct mt_http_request *request, const char *name)
 {
-  const char *at = find_query (request, name);
+  const char *value = find_query (request, name);
 
-  return at != NULL && *at == '=' ? g_strndup (at + 1, strcspn (at + 1, "&")) : NULL;
+  return value != NULL && *value == '=' ? g_strndup (value + 1, strcspn (value + 1, "&")) : NULL;
 }
 
 bool
--- a/tests/standins/workers_main.c
+++ b/tests/standins/workers_main.c
@@ -1,22 +1,22 @@
-/* A stand-in for the platform's workers: they run tasks under leases, refuse what an older lease or
- * a fenced epoch asks for, and report with a lag.
+/* A stand-in for the platform's workers: they run tasks under leases, ignore actions of an older
+ * lease or a fenced epoch, and report running tasks every 200 ms.
  *
  *   medlartrack-standin-workers ADDRESS ZONE COUNT TASK_MS
- *   PUT /fault {"lapse": NAME} its lease lapses, its tasks run on; {"restart": NAME} it starts anew
- *       {"fail": NAME} it fails whatever it starts; {"lose_posts": n} so many next posts are taken
- *       and not answered
- *   GET /tasks -> {"starts": {job: n}, "most_copies": {job: n}, "running": {job: n}, "done": {job:
- * n}}
+ *   PUT /fault: {"lapse": NAME} the worker's lease expires, its tasks go on; {"restart": NAME} the
+ *       worker restarts without tasks, with a new lease; {"fail": NAME} each task that the worker
+ *       starts fails; {"lose_posts": n} the next n posts are carried out and not answered
+ *   GET /tasks -> {"on": {job: worker}, "starts": {job: n}, "most_copies": {job: n}, "running":
+ *       {job: n}, "done": {job: n}}
  */
 #include "standin.h"
 
 #include <string.h>
 
-#define WORKER_CPU_MILLI 16000
-#define WORKER_MEMORY_MB 32768
-#define WORKERS_PER_RACK 4
-#define TICK_US          10000
-#define USAGE_EVERY_US   (200 * MT_MS)
+#define WORKER_CPU_MILLI  16000
+#define WORKER_MEMORY_MB  32768
+#define WORKERS_PER_RACK  4
+#define TICK_US           10000
+#define USAGE_INTERVAL_US (200 * MT_MS)
 
 struct task
 {
@@ -35,10 +35,10 @@
   uint64_t lease;
   bool alive;
   bool fails;
-  uint64_t changed;    /* index of its last change */
+  uint64_t changed;    /* index of the last change of its entry */
   GPtrArray *tasks;    /* of struct task */
-  GHashTable *refused; /* job -> highest epoch that is not started again */
-  GHashTable *ended;   /* job -> epoch that was done here under this lease */
+  GHashTable *refused; /* job -> highest epoch that is not started any more */
+  GHashTable *ended;   /* job -> epoch that was done on this worker under this lease */
 };
 
 struct fleet
@@ -52,11 +52,11 @@
   uint64_t index;
   json_t *reports; /* list of {"seq": n, ...}, oldest first */
   GHashTable *starts;
-  GHashTable *copies;
-  GHashTable *most;
+  GHashTable *copies;      /* job -> tasks running now */
+  GHashTable *most_copies; /* job -> highest number of tasks running at once */
   GHashTable *done;
-  GHashTable *on; /* job -> name of the worker that started it last */
-  unsigned lose_posts;
+  GHashTable *last_worker; /* job -> name of the worker that started it last */
+  unsigned lose_posts;     /* number of next posts that are carried out and not answered */
 };
 
 static int64_t
@@ -66,7 +66,7 @@
 }
 
 static int
-count (GHashTable *table, const char *job, int by)
+add_count (GHashTable *table, const char *job, int by)
 {
   int n = GPOINTER_TO_INT (g_hash_table_lookup (table, job)) + by;
 
@@ -117,14 +117,14 @@
 }
 
 static void
-drop_task (struct fleet *fleet, struct worker *worker, guint at)
+remove_task (struct fleet *fleet, struct worker *worker, guint at)
 {
-  count (fleet->copies, ((struct task *) worker->tasks->pdata[at])->job, -1);
+  add_count (fleet->copies, ((struct task *) worker->tasks->pdata[at])->job, -1);
   g_ptr_array_remove_index (worker->tasks, at);
 }
 
 static uint64_t
-refused_to (const struct worker *worker, const char *job)
+highest_refused_epoch (const struct worker *worker, const char *job)
 {
   return (uint64_t) GPOINTER_TO_SIZE (g_hash_table_lookup (worker->refused, job));
 }
@@ -132,7 +132,7 @@
 static void
 refuse_up_to (struct worker *worker, const char *job, uint64_t epoch)
 {
-  if (epoch > refused_to (worker, job))
+  if (epoch > highest_refused_epoch (worker, job))
     g_hash_table_insert (worker->refused, g_strdup (job), GSIZE_TO_POINTER (epoch));
 }
 
@@ -145,7 +145,7 @@
 {
   struct task *task;
 
-  if (epoch <= refused_to (worker, job))
+  if (epoch <= highest_refused_epoch (worker, job))
     return;
   refuse_up_to (worker, job, epoch);
   if (worker->fails)
@@ -160,14 +160,15 @@
   task->cpu_milli = json_integer_value (json_object_get (action, "cpu_milli"));
   task->memory_mb = json_integer_value (json_object_get (action, "memory_mb"));
   g_ptr_array_add (worker->tasks, task);
-  count (fleet->starts, job, 1);
-  g_hash_table_insert (fleet->on, g_strdup (job), worker->name);
-  if (count (fleet->copies, job, 1) > GPOINTER_TO_INT (g_hash_table_lookup (fleet->most, job)))
-    count (fleet->most, job, 1);
+  add_count (fleet->starts, job, 1);
+  g_hash_table_insert (fleet->last_worker, g_strdup (job), worker->name);
+  if (add_count (fleet->copies, job, 1)
+      > GPOINTER_TO_INT (g_hash_table_lookup (fleet->most_copies, job)))
+    add_count (fleet->most_copies, job, 1);
   report (fleet, worker, "running", job, epoch, task);
 }
 
-/* A stop, checkpoint or fence: what is done here already says so instead. */
+/* Handles a stop, a checkpoint or a fence. Reports "done" instead if the job's epoch is done. */
 static void
 end_task (
     struct fleet *fleet, struct worker *worker, const char *job, uint64_t epoch, const char *kind)
@@ -180,7 +181,7 @@
   if (ended == epoch)
     kind = "done";
   else if (task != NULL && task->epoch <= epoch)
-    drop_task (fleet, worker, at);
+    remove_task (fleet, worker, at);
   report (fleet, worker, kind, job, epoch, NULL);
 }
 
@@ -194,25 +195,26 @@
 }
 
 static void
-act (struct fleet *fleet, const json_t *action)
+apply_action (struct fleet *fleet, const json_t *action)
 {
   struct worker *worker
       = find_worker (fleet, json_string_value (json_object_get (action, "worker")));
   const char *job = json_string_value (json_object_get (action, "job"));
-  const char *what = json_string_value (json_object_get (action, "action"));
+  const char *action_kind = json_string_value (json_object_get (action, "action"));
   uint64_t epoch = (uint64_t) json_integer_value (json_object_get (action, "epoch"));
   uint64_t lease = (uint64_t) json_integer_value (json_object_get (action, "lease"));
 
-  /* A worker whose lease lapsed is cut off: nothing reaches it. */
-  if (worker == NULL || job == NULL || what == NULL || !worker->alive || lease != worker->lease)
+  /* A worker whose lease has expired is unreachable. */
+  if (worker == NULL || job == NULL || action_kind == NULL || !worker->alive
+      || lease != worker->lease)
     return;
-  if (strcmp (what, "start") == 0)
+  if (strcmp (action_kind, "start") == 0)
     start_task (fleet, worker, job, epoch, action);
-  else if (strcmp (what, "checkpoint") == 0)
+  else if (strcmp (action_kind, "checkpoint") == 0)
     end_task (fleet, worker, job, epoch, "checkpointed");
-  else if (strcmp (what, "stop") == 0)
+  else if (strcmp (action_kind, "stop") == 0)
     end_task (fleet, worker, job, epoch, "stopped");
-  else if (strcmp (what, "fence") == 0)
+  else if (strcmp (action_kind, "fence") == 0)
     end_task (fleet, worker, job, epoch, "fenced");
 }
 
@@ -224,7 +226,7 @@
   size_t n = json_array_size (actions);
 
   for (size_t i = 0; i < n; i++)
-    act (fleet, json_array_get (actions, i));
+    apply_action (fleet, json_array_get (actions, i));
   json_decref (body);
   if (fleet->lose_posts > 0)
     {
@@ -272,22 +274,22 @@
 }
 
 static void
-touch (struct fleet *fleet, struct worker *worker)
+mark_changed (struct fleet *fleet, struct worker *worker)
 {
   worker->changed = ++fleet->index;
   g_cond_broadcast (&fleet->changed);
 }
 
 static void
-restart (struct fleet *fleet, struct worker *worker)
+restart_worker (struct fleet *fleet, struct worker *worker)
 {
   while (worker->tasks->len > 0)
-    drop_task (fleet, worker, 0);
+    remove_task (fleet, worker, 0);
   g_hash_table_remove_all (worker->refused);
   g_hash_table_remove_all (worker->ended);
   worker->lease++;
   worker->alive = true;
-  touch (fleet, worker);
+  mark_changed (fleet, worker);
 }
 
 static void
@@ -302,10 +304,10 @@
   if (lapsed != NULL)
     {
       lapsed->alive = false;
-      touch (fleet, lapsed);
+      mark_changed (fleet, lapsed);
     }
   if (restarted != NULL)
-    restart (fleet, restarted);
+    restart_worker (fleet, restarted);
   if (failing != NULL)
     failing->fails = true;
   fleet->lose_posts = (unsigned) json_integer_value (json_object_get (body, "lose_posts"));
@@ -328,14 +330,14 @@
 }
 
 static json_t *
-describe_places (const struct fleet *fleet)
+describe_last_workers (const struct fleet *fleet)
 {
   json_t *out = json_object ();
   GHashTableIter iter;
   gpointer job;
   gpointer worker;
 
-  g_hash_table_iter_init (&iter, fleet->on);
+  g_hash_table_iter_init (&iter, fleet->last_worker);
   while (g_hash_table_iter_next (&iter, &job, &worker))
     json_object_set_new (out, job, json_string (worker));
   return out;
@@ -356,13 +358,13 @@
     handle_fault (fleet, request);
   else if (strcmp (path, "/tasks") == 0)
     standin_answer_json (request, 200,
-                         json_pack ("{so so so so so}", "on", describe_places (fleet), "starts",
-                                    describe_counts (fleet->starts), "most_copies",
-                                    describe_counts (fleet->most), "running",
+                         json_pack ("{so so so so so}", "on", describe_last_workers (fleet),
+                                    "starts", describe_counts (fleet->starts), "most_copies",
+                                    describe_counts (fleet->most_copies), "running",
                                     describe_counts (fleet->copies), "done",
                                     describe_counts (fleet->done)));
   else
-    standin_answer_text (request, 404, "no such call");
+    standin_answer_text (request, 404, "unknown path");
   g_mutex_unlock (&fleet->lock);
 }
 
@@ -377,12 +379,12 @@
       if (now >= task->ends_us)
         {
           g_hash_table_insert (worker->ended, g_strdup (task->job), GSIZE_TO_POINTER (task->epoch));
-          count (fleet->done, task->job, 1);
+          add_count (fleet->done, task->job, 1);
           if (worker->alive)
             report (fleet, worker, "done", task->job, task->epoch, task);
-          drop_task (fleet, worker, i);
+          remove_task (fleet, worker, i);
         }
-      else if (worker->alive && now - task->reported_us >= USAGE_EVERY_US)
+      else if (worker->alive && now - task->reported_us >= USAGE_INTERVAL_US)
         {
           task->reported_us = now;
           report (fleet, worker, "running", task->job, task->epoch, task);
@@ -446,9 +448,9 @@
   fleet.reports = json_array ();
   fleet.starts = create_counts ();
   fleet.copies = create_counts ();
-  fleet.most = create_counts ();
+  fleet.most_copies = create_counts ();
   fleet.done = create_counts ();
-  fleet.on = create_counts ();
+  fleet.last_worker = create_counts ();
   create_workers (&fleet);
   g_thread_new ("tasks", run_tasks, &fleet);
   return standin_serve (argv[1], handle, &fleet);
