--- a/measure/fleet.c
+++ b/measure/fleet.c
@@ -2,18 +2,19 @@
 
 #include <string.h>
 
-#define MEAN_SHARE   0.25 /* of a pool's slots: five times it is more than the pool holds */
-#define SURGE_FACTOR 5.0
-#define TROUGH       0.05
-#define SURGE_MIN_S  4.0
-#define SURGE_MAX_S  12.0
-#define GAP_MIN_S    1.0
-#define GAP_MAX_S    6.0
-/* One service's load grows beyond its pool for minutes: no surge, and worth moves. */
-#define GROWTH_FROM_S 1100.0
-#define GROWTH_TO_S   1400.0
-#define GROWTH_SHARE  1.15
-#define GROWTH_AT     1
+#define MEAN_SHARE    0.25 /* of a pool's slots; a surge to five times it exceeds the pool */
+#define SURGE_FACTOR  5.0
+#define TROUGH_FACTOR 0.05
+#define SURGE_MIN_S   4.0
+#define SURGE_MAX_S   12.0
+#define GAP_MIN_S     1.0
+#define GAP_MAX_S     6.0
+/* One service's load exceeds its pool for minutes. Unlike a surge, it lasts long enough for moves
+ * of instances to pay. */
+#define GROWTH_FROM_S  1100.0
+#define GROWTH_TO_S    1400.0
+#define GROWTH_SHARE   1.15
+#define GROWTH_SERVICE 1
 
 struct surge
 {
@@ -25,12 +26,12 @@
 struct fleet_load
 {
   double mean[FLEET_SERVICES];
-  GArray *surges; /* struct surge, in order of time */
+  GArray *surges; /* of struct surge, by start time */
 };
 
 const struct fleet_deployment fleet_deployments[] = {
-  { "kovacs", "3 data centres; moves weigh most", 3, 10, 1 },
-  { "skovlund", "4 data centres; idle instances weigh most", 4, 1, 400 },
+  { "kovacs", "3 data centres; moves cost most", 3, 10, 1 },
+  { "skovlund", "4 data centres; idle instances cost most", 4, 1, 400 },
   { NULL },
 };
 
@@ -130,7 +131,7 @@
 {
   double mean = load->mean[service];
 
-  if (service == GROWTH_AT && at_s >= GROWTH_FROM_S && at_s < GROWTH_TO_S)
+  if (service == GROWTH_SERVICE && at_s >= GROWTH_FROM_S && at_s < GROWTH_TO_S)
     return mean / MEAN_SHARE * GROWTH_SHARE;
   for (guint i = 0; i < load->surges->len; i++)
     {
@@ -141,5 +142,5 @@
       if (surge->service == service && at_s < surge->to_s)
         return mean * SURGE_FACTOR;
     }
-  return mean * TROUGH;
+  return mean * TROUGH_FACTOR;
 }
--- a/measure/fleet.h
+++ b/measure/fleet.h
@@ -1,5 +1,5 @@
-/* A deployment's fleet as the measure sees it: the tables, and the load that meets them. No network
- * model: requests take slots, and that is all. Deterministic from its seed. */
+/* Model of a deployment's fleet: its tables and its load. The network is not modelled: a request
+ * only occupies a slot. Deterministic for a given seed. */
 #ifndef MT_MEASURE_FLEET_H
 #define MT_MEASURE_FLEET_H
 
@@ -19,19 +19,19 @@
   double buffer_weight;
 };
 
-/* Ended by one without a name. */
+/* The last entry has no name. */
 extern const struct fleet_deployment fleet_deployments[];
 const struct fleet_deployment *fleet_deployment_find (const char *name);
 
-/* The tables at a version; with wave, every pool declares one. */
+/* The tables of a version. If wave is not NULL, every pool declares a wave with this id. */
 struct mt_tables *
 fleet_tables (const struct fleet_deployment *deployment, uint64_t version, const char *wave);
 
 struct fleet_load;
-/* home: instances of each service in the data centre. */
+/* home: number of instances of each service in the data centre. */
 struct fleet_load *fleet_load_create (uint32_t seed, const unsigned *home, double seconds);
 void fleet_load_destroy (struct fleet_load *load);
-/* Slots that the service's callers would keep busy at that time. */
+/* Number of slots that the service's callers would keep busy at this time. */
 double fleet_load_at (const struct fleet_load *load, unsigned service, double at_s);
 
 #endif
--- a/measure/jobs_scenario.c
+++ b/measure/jobs_scenario.c
@@ -7,35 +7,35 @@
 #include <string.h>
 #include <time.h>
 
-#define TICK_US                 (500 * MT_MS) /* a round of the daemon's runner */
-#define DELIVERY_TICKS          1             /* an action reaches its worker after this */
-#define CHECKPOINT_TICKS        2             /* a second to save progress */
-#define REPORT_TICKS            20            /* usage is measured every 10 s */
+#define TICK_US                 (500 * MT_MS) /* interval of planning, as in the daemon */
+#define DELIVERY_TICKS          1             /* delay from an action to its effect on the worker */
+#define CHECKPOINT_TICKS        2             /* one second to save a checkpoint */
+#define REPORT_TICKS            20            /* a running job reports its usage every 10 s */
 #define WORKER_CPU_MILLI        16000
 #define WORKER_MEMORY_MB        32768
-#define TARGET_LOAD             0.85 /* of the fleet's processors, by true sizes */
+#define TARGET_LOAD             0.85 /* share of the fleet's processors, by actual sizes */
 #define URGENT_PERCENT          10
 #define BACKGROUND_PERCENT      30
 #define IMPOSSIBLE_PER_MILLE    2
-#define BROKEN_WORKER_PER_MILLE 10  /* workers that fail whatever they start */
-#define CANCEL_WAVE_TICKS       240 /* every two minutes a wave of cancellations comes */
+#define BROKEN_WORKER_PER_MILLE 10  /* workers on which every job fails */
+#define CANCEL_WAVE_TICKS       240 /* every two minutes CANCEL_WAVE_JOBS jobs are cancelled */
 #define CANCEL_WAVE_JOBS        20
-#define RUN_SPREAD              0.3 /* one run uses up to so much less or more than its kind */
+#define RUN_SPREAD              0.3 /* a job's size differs from its kind's by up to this share */
 #define KINDS_PER_POOL          6
 #define MEAN_RUN_S              60.0
 
-/* A job as it truly is; the book sees only what is declared and reported. */
-struct truth
+/* The actual state of a job. The scheduler knows only what is declared and reported. */
+struct sim_job
 {
   char *name;
   unsigned pool;
   unsigned team;
   struct mt_job_resources size;
-  double left_s; /* run time still needed */
+  double remaining_s; /* run time still needed */
   enum mt_urgency urgency;
   int64_t submitted_us;
   int64_t first_start_us; /* 0: not yet */
-  bool within_quota;      /* its team was, when it came */
+  bool within_quota;      /* its team was within its quota at the job's submission */
   int worker;             /* -1: not running */
   uint64_t epoch;
   bool ended;
@@ -47,47 +47,48 @@
   double declared_factor;
 };
 
-struct due
+struct pending_report
 {
   int64_t at_us;
   struct mt_job_report report;
 };
 
-struct world
+struct sim
 {
   const struct mt_jobs_scenario *scenario;
   struct mt_clock_manual *manual;
   struct mt_jobs *jobs;
   GRand *rand;
   struct mt_job_resources quota; /* of each team */
-  GHashTable *by_name;           /* name -> struct truth */
-  GPtrArray *all;
-  GPtrArray *running; /* of struct truth */
-  GQueue due;         /* of struct due, in order of time */
+  GHashTable *jobs_by_name;      /* name -> struct sim_job */
+  GPtrArray *all_jobs;           /* of struct sim_job */
+  GPtrArray *running;            /* of struct sim_job */
+  GQueue pending_reports;        /* of struct pending_report, by time */
   struct kind *kinds;
-  bool *broken; /* workers that fail everything */
+  bool *broken; /* by worker: every job on it fails */
   char **worker_names;
-  struct mt_job_resources *used; /* of each worker, as its tasks truly use it */
-  uint64_t cpu_over_ticks;       /* rounds of workers that wanted more processors than there are */
+  struct mt_job_resources *used; /* of each worker: actual use by its jobs */
+  uint64_t cpu_over_ticks; /* ticks times workers whose jobs needed more processors than the worker
+                              has */
   uint64_t memory_over_ticks;
   double arrivals_per_tick;
   uint64_t next_job;
   double used_cpu_s;
   double bound_cpu_s;
-  double *backlog_cpu_s; /* of each pool, for the fractional bound */
+  double *backlog_cpu_s; /* of each pool, for the bound with divisible work */
   unsigned actions;
   unsigned failures;
   size_t record_bytes;
   unsigned batches;
   double plan_cpu_s;
-  double plan_worst_s;
+  double max_plan_s;
   unsigned plans;
 };
 
 static int64_t
-now_us (const struct world *w)
+now_us (const struct sim *sim)
 {
-  return mt_clock_now (mt_clock_manual_clock (w->manual));
+  return mt_clock_now (mt_clock_manual_clock (sim->manual));
 }
 
 static double
@@ -100,18 +101,18 @@
 }
 
 static void
-free_truth (gpointer data)
+free_job (gpointer data)
 {
-  struct truth *t = data;
+  struct sim_job *job = data;
 
-  g_free (t->name);
-  g_free (t);
+  g_free (job->name);
+  g_free (job);
 }
 
 static void
-make_workers (struct world *w)
+make_workers (struct sim *sim)
 {
-  const struct mt_jobs_scenario *s = w->scenario;
+  const struct mt_jobs_scenario *s = sim->scenario;
 
   for (unsigned i = 0; i < s->workers; i++)
     {
@@ -120,17 +121,17 @@
       struct mt_worker_spec spec
           = { NULL, rack, pool, { WORKER_CPU_MILLI, WORKER_MEMORY_MB, i % 2 ? 2 : 0 }, 1 };
 
-      w->worker_names[i] = g_strdup_printf ("worker-%u", i);
-      spec.name = w->worker_names[i];
-      w->broken[i] = g_rand_int_range (w->rand, 0, 1000) < BROKEN_WORKER_PER_MILLE;
-      mt_jobs_set_worker (w->jobs, &spec);
+      sim->worker_names[i] = g_strdup_printf ("worker-%u", i);
+      spec.name = sim->worker_names[i];
+      sim->broken[i] = g_rand_int_range (sim->rand, 0, 1000) < BROKEN_WORKER_PER_MILLE;
+      mt_jobs_set_worker (sim->jobs, &spec);
     }
 }
 
 static void
-make_teams (struct world *w)
+make_teams (struct sim *sim)
 {
-  const struct mt_jobs_scenario *s = w->scenario;
+  const struct mt_jobs_scenario *s = sim->scenario;
   double share = (double) s->workers / s->teams;
   struct mt_job_resources quota
       = { (uint32_t) (share * WORKER_CPU_MILLI), (uint32_t) (share * WORKER_MEMORY_MB),
@@ -140,78 +141,78 @@
     {
       g_autofree char *team = g_strdup_printf ("team-%u", i);
 
-      mt_jobs_set_quota (w->jobs, team, quota);
+      mt_jobs_set_quota (sim->jobs, team, quota);
     }
-  w->quota = quota;
+  sim->quota = quota;
 }
 
 static void
-make_kinds (struct world *w)
+make_kinds (struct sim *sim)
 {
-  unsigned n = w->scenario->pools * KINDS_PER_POOL;
+  unsigned n = sim->scenario->pools * KINDS_PER_POOL;
 
-  w->kinds = g_new0 (struct kind, n);
+  sim->kinds = g_new0 (struct kind, n);
   for (unsigned i = 0; i < n; i++)
     {
-      struct kind *k = &w->kinds[i];
+      struct kind *k = &sim->kinds[i];
 
-      k->size.cpu_milli = (uint32_t) g_rand_int_range (w->rand, 500, 6000);
-      k->size.memory_mb = (uint32_t) g_rand_int_range (w->rand, 256, 10000);
-      /* Declared sizes are far off: from a fifth to five times. */
-      k->declared_factor = exp (g_rand_double_range (w->rand, -log (5.0), log (5.0)));
+      k->size.cpu_milli = (uint32_t) g_rand_int_range (sim->rand, 500, 6000);
+      k->size.memory_mb = (uint32_t) g_rand_int_range (sim->rand, 256, 10000);
+      /* Declared sizes are from a fifth to five times the actual ones. */
+      k->declared_factor = exp (g_rand_double_range (sim->rand, -log (5.0), log (5.0)));
     }
 }
 
-static struct world *
-create_world (const struct mt_jobs_scenario *s, const struct mt_placement_policy *placement)
+static struct sim *
+create_sim (const struct mt_jobs_scenario *s, const struct mt_placement_policy *placement)
 {
-  struct world *w = g_new0 (struct world, 1);
+  struct sim *sim = g_new0 (struct sim, 1);
   struct mt_jobs_options options = mt_jobs_default_options ();
   double mean_cpu = 3.25;
 
   options.placement = placement;
-  w->scenario = s;
-  w->manual = mt_clock_manual_create (MT_SECOND);
-  w->jobs = mt_jobs_create (mt_clock_manual_clock (w->manual), &options);
-  w->rand = g_rand_new_with_seed (s->seed);
-  w->by_name = g_hash_table_new (g_str_hash, g_str_equal);
-  w->all = g_ptr_array_new_with_free_func (free_truth);
-  w->running = g_ptr_array_new ();
-  g_queue_init (&w->due);
-  w->broken = g_new0 (bool, s->workers);
-  w->worker_names = g_new0 (char *, s->workers + 1);
-  w->used = g_new0 (struct mt_job_resources, s->workers);
-  w->backlog_cpu_s = g_new0 (double, s->pools);
-  make_workers (w);
-  make_teams (w);
-  make_kinds (w);
-  w->arrivals_per_tick = s->workers * (WORKER_CPU_MILLI / 1000.0) * TARGET_LOAD
-                         / (mean_cpu * MEAN_RUN_S) * ((double) TICK_US / MT_SECOND);
-  return w;
+  sim->scenario = s;
+  sim->manual = mt_clock_manual_create (MT_SECOND);
+  sim->jobs = mt_jobs_create (mt_clock_manual_clock (sim->manual), &options);
+  sim->rand = g_rand_new_with_seed (s->seed);
+  sim->jobs_by_name = g_hash_table_new (g_str_hash, g_str_equal);
+  sim->all_jobs = g_ptr_array_new_with_free_func (free_job);
+  sim->running = g_ptr_array_new ();
+  g_queue_init (&sim->pending_reports);
+  sim->broken = g_new0 (bool, s->workers);
+  sim->worker_names = g_new0 (char *, s->workers + 1);
+  sim->used = g_new0 (struct mt_job_resources, s->workers);
+  sim->backlog_cpu_s = g_new0 (double, s->pools);
+  make_workers (sim);
+  make_teams (sim);
+  make_kinds (sim);
+  sim->arrivals_per_tick = s->workers * (WORKER_CPU_MILLI / 1000.0) * TARGET_LOAD
+                           / (mean_cpu * MEAN_RUN_S) * ((double) TICK_US / MT_SECOND);
+  return sim;
 }
 
 static void
-destroy_world (struct world *w)
-{
-  mt_jobs_destroy (w->jobs);
-  mt_clock_manual_destroy (w->manual);
-  g_rand_free (w->rand);
-  g_hash_table_unref (w->by_name);
-  g_ptr_array_unref (w->all);
-  g_ptr_array_unref (w->running);
-  g_queue_clear_full (&w->due, g_free);
-  g_free (w->broken);
-  g_free (w->used);
-  g_strfreev (w->worker_names);
-  g_free (w->backlog_cpu_s);
-  g_free (w->kinds);
-  g_free (w);
+destroy_sim (struct sim *sim)
+{
+  mt_jobs_destroy (sim->jobs);
+  mt_clock_manual_destroy (sim->manual);
+  g_rand_free (sim->rand);
+  g_hash_table_unref (sim->jobs_by_name);
+  g_ptr_array_unref (sim->all_jobs);
+  g_ptr_array_unref (sim->running);
+  g_queue_clear_full (&sim->pending_reports, g_free);
+  g_free (sim->broken);
+  g_free (sim->used);
+  g_strfreev (sim->worker_names);
+  g_free (sim->backlog_cpu_s);
+  g_free (sim->kinds);
+  g_free (sim);
 }
 
 static enum mt_urgency
-draw_urgency (struct world *w)
+draw_urgency (struct sim *sim)
 {
-  int draw = g_rand_int_range (w->rand, 0, 100);
+  int draw = g_rand_int_range (sim->rand, 0, 100);
 
   if (draw < URGENT_PERCENT)
     return MT_URGENCY_URGENT;
@@ -219,7 +220,7 @@
 }
 
 static struct mt_job_resources
-declare (const struct kind *k)
+declared_size (const struct kind *k)
 {
   struct mt_job_resources size
       = { (uint32_t) CLAMP (k->size.cpu_milli * k->declared_factor, 100, WORKER_CPU_MILLI),
@@ -229,19 +230,19 @@
 }
 
 static bool
-is_within_quota (const struct world *w, const char *team, struct mt_job_resources more)
+is_within_quota (const struct sim *sim, const char *team, struct mt_job_resources more)
 {
-  struct mt_job_resources owned = mt_job_resources_sub (mt_jobs_team_allocated (w->jobs, team),
-                                                        mt_jobs_team_borrowed (w->jobs, team));
+  struct mt_job_resources owned = mt_job_resources_sub (mt_jobs_team_allocated (sim->jobs, team),
+                                                        mt_jobs_team_borrowed (sim->jobs, team));
 
-  return mt_job_resources_fit (mt_job_resources_add (owned, more), w->quota);
+  return mt_job_resources_fit (mt_job_resources_add (owned, more), sim->quota);
 }
 
 static void
-submit_one (struct world *w)
+submit_one (struct sim *sim)
 {
-  const struct mt_jobs_scenario *s = w->scenario;
-  struct truth *t = g_new0 (struct truth, 1);
+  const struct mt_jobs_scenario *s = sim->scenario;
+  struct sim_job *job = g_new0 (struct sim_job, 1);
   unsigned kind_number;
   const struct kind *k;
   g_autofree char *kind = NULL;
@@ -250,217 +251,220 @@
   struct mt_job_spec spec = { 0 };
   double spread;
 
-  t->pool = (unsigned) g_rand_int_range (w->rand, 0, (gint32) s->pools);
-  t->team = (unsigned) g_rand_int_range (w->rand, 0, (gint32) s->teams);
-  kind_number = t->pool * KINDS_PER_POOL + (unsigned) g_rand_int_range (w->rand, 0, KINDS_PER_POOL);
-  k = &w->kinds[kind_number];
-  t->name = g_strdup_printf ("job-%" G_GUINT64_FORMAT, w->next_job++);
-  spread = g_rand_double_range (w->rand, 1.0 - RUN_SPREAD, 1.0 + RUN_SPREAD);
-  t->size = (struct mt_job_resources){ (uint32_t) (k->size.cpu_milli * spread),
-                                       (uint32_t) (k->size.memory_mb * spread), 0 };
-  t->left_s = -log (1.0 - g_rand_double (w->rand)) * MEAN_RUN_S + 1;
-  t->urgency = draw_urgency (w);
-  t->submitted_us = now_us (w);
-  t->worker = -1;
+  job->pool = (unsigned) g_rand_int_range (sim->rand, 0, (gint32) s->pools);
+  job->team = (unsigned) g_rand_int_range (sim->rand, 0, (gint32) s->teams);
+  kind_number
+      = job->pool * KINDS_PER_POOL + (unsigned) g_rand_int_range (sim->rand, 0, KINDS_PER_POOL);
+  k = &sim->kinds[kind_number];
+  job->name = g_strdup_printf ("job-%" G_GUINT64_FORMAT, sim->next_job++);
+  spread = g_rand_double_range (sim->rand, 1.0 - RUN_SPREAD, 1.0 + RUN_SPREAD);
+  job->size = (struct mt_job_resources){ (uint32_t) (k->size.cpu_milli * spread),
+                                         (uint32_t) (k->size.memory_mb * spread), 0 };
+  job->remaining_s = -log (1.0 - g_rand_double (sim->rand)) * MEAN_RUN_S + 1;
+  job->urgency = draw_urgency (sim);
+  job->submitted_us = now_us (sim);
+  job->worker = -1;
   kind = g_strdup_printf ("kind-%u", kind_number);
-  team = g_strdup_printf ("team-%u", t->team);
-  pool = g_strdup_printf ("pool-%u", t->pool);
+  team = g_strdup_printf ("team-%u", job->team);
+  pool = g_strdup_printf ("pool-%u", job->pool);
   spec = (struct mt_job_spec){
-    t->name, kind, team, pool, declare (k), t->urgency, w->next_job % 3 != 0
+    job->name, kind, team, pool, declared_size (k), job->urgency, sim->next_job % 3 != 0
   };
-  if (g_rand_int_range (w->rand, 0, 1000) < IMPOSSIBLE_PER_MILLE)
+  if (g_rand_int_range (sim->rand, 0, 1000) < IMPOSSIBLE_PER_MILLE)
     {
       spec.declared.accelerators = 100;
       spec.kind = "impossible";
-      t->ended = true;
+      job->ended = true;
     }
   else
-    w->backlog_cpu_s[t->pool] += t->left_s * t->size.cpu_milli / 1000.0;
-  t->within_quota = is_within_quota (w, team, spec.declared);
-  g_ptr_array_add (w->all, t);
-  g_hash_table_insert (w->by_name, t->name, t);
-  mt_jobs_submit (w->jobs, &spec);
+    sim->backlog_cpu_s[job->pool] += job->remaining_s * job->size.cpu_milli / 1000.0;
+  job->within_quota = is_within_quota (sim, team, spec.declared);
+  g_ptr_array_add (sim->all_jobs, job);
+  g_hash_table_insert (sim->jobs_by_name, job->name, job);
+  mt_jobs_submit (sim->jobs, &spec);
 }
 
 static void
-arrive (struct world *w)
+submit_arrivals (struct sim *sim)
 {
-  double expected = w->arrivals_per_tick;
+  double expected = sim->arrivals_per_tick;
   unsigned n = (unsigned) expected;
 
-  if (g_rand_double (w->rand) < expected - n)
+  if (g_rand_double (sim->rand) < expected - n)
     n++;
   for (unsigned i = 0; i < n; i++)
-    submit_one (w);
+    submit_one (sim);
 }
 
 static void
-cancel_wave (struct world *w)
+cancel_random_jobs (struct sim *sim)
 {
-  for (unsigned i = 0; i < CANCEL_WAVE_JOBS && w->all->len > 0; i++)
+  for (unsigned i = 0; i < CANCEL_WAVE_JOBS && sim->all_jobs->len > 0; i++)
     {
-      struct truth *t = w->all->pdata[g_rand_int_range (w->rand, 0, (gint32) w->all->len)];
+      struct sim_job *job
+          = sim->all_jobs->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->all_jobs->len)];
 
-      mt_jobs_cancel (w->jobs, t->name);
+      mt_jobs_cancel (sim->jobs, job->name);
     }
 }
 
 static gint
-compare_due (gconstpointer a, gconstpointer b, gpointer data)
+compare_pending (gconstpointer a, gconstpointer b, gpointer data)
 {
-  const struct due *x = a;
-  const struct due *y = b;
+  const struct pending_report *x = a;
+  const struct pending_report *y = b;
 
   return (x->at_us > y->at_us) - (x->at_us < y->at_us);
 }
 
 static void
-report_later (struct world *w,
-              const struct truth *t,
+queue_report (struct sim *sim,
+              const struct sim_job *job,
               int worker,
               uint64_t epoch,
               enum mt_job_report_kind kind,
               unsigned ticks)
 {
-  struct due *d = g_new0 (struct due, 1);
+  struct pending_report *d = g_new0 (struct pending_report, 1);
 
-  d->at_us = now_us (w) + (int64_t) ticks * TICK_US;
-  d->report = (struct mt_job_report){ kind,  t->name, w->worker_names[worker],
-                                      epoch, t->size, now_us (w) };
-  g_queue_insert_sorted (&w->due, d, compare_due, NULL);
+  d->at_us = now_us (sim) + (int64_t) ticks * TICK_US;
+  d->report = (struct mt_job_report){ kind,  job->name, sim->worker_names[worker],
+                                      epoch, job->size, now_us (sim) };
+  g_queue_insert_sorted (&sim->pending_reports, d, compare_pending, NULL);
 }
 
 static void
-deliver_reports (struct world *w)
+deliver_reports (struct sim *sim)
 {
-  struct due *d;
+  struct pending_report *d;
 
-  while ((d = g_queue_peek_head (&w->due)) != NULL && d->at_us <= now_us (w))
+  while ((d = g_queue_peek_head (&sim->pending_reports)) != NULL && d->at_us <= now_us (sim))
     {
-      g_queue_pop_head (&w->due);
-      mt_jobs_report (w->jobs, &d->report);
+      g_queue_pop_head (&sim->pending_reports);
+      mt_jobs_report (sim->jobs, &d->report);
       g_free (d);
     }
 }
 
 static void
-stop_running (struct world *w, struct truth *t)
+stop_running (struct sim *sim, struct sim_job *job)
 {
-  g_ptr_array_remove_fast (w->running, t);
-  w->used[t->worker] = mt_job_resources_sub (w->used[t->worker], t->size);
-  t->worker = -1;
+  g_ptr_array_remove_fast (sim->running, job);
+  sim->used[job->worker] = mt_job_resources_sub (sim->used[job->worker], job->size);
+  job->worker = -1;
 }
 
 static void
-carry_out_start (struct world *w, struct truth *t, const struct mt_job_action *a)
+start_job (struct sim *sim, struct sim_job *job, const struct mt_job_action *a)
 {
   int worker = atoi (strrchr (a->worker, '-') + 1);
 
-  if (w->broken[worker])
+  if (sim->broken[worker])
     {
-      w->failures++;
-      report_later (w, t, worker, a->epoch, MT_REPORT_FAILED, DELIVERY_TICKS + 1);
+      sim->failures++;
+      queue_report (sim, job, worker, a->epoch, MT_REPORT_FAILED, DELIVERY_TICKS + 1);
       return;
     }
-  t->worker = worker;
-  t->epoch = a->epoch;
-  if (t->first_start_us == 0)
-    t->first_start_us = now_us (w) + DELIVERY_TICKS * TICK_US;
-  g_ptr_array_add (w->running, t);
-  w->used[worker] = mt_job_resources_add (w->used[worker], t->size);
-  report_later (w, t, worker, a->epoch, MT_REPORT_RUNNING, DELIVERY_TICKS);
+  job->worker = worker;
+  job->epoch = a->epoch;
+  if (job->first_start_us == 0)
+    job->first_start_us = now_us (sim) + DELIVERY_TICKS * TICK_US;
+  g_ptr_array_add (sim->running, job);
+  sim->used[worker] = mt_job_resources_add (sim->used[worker], job->size);
+  queue_report (sim, job, worker, a->epoch, MT_REPORT_RUNNING, DELIVERY_TICKS);
 }
 
 static void
-carry_out (struct world *w, const struct mt_job_action *a)
+perform_action (struct sim *sim, const struct mt_job_action *a)
 {
-  struct truth *t = g_hash_table_lookup (w->by_name, a->job);
-  int worker = t->worker;
+  struct sim_job *job = g_hash_table_lookup (sim->jobs_by_name, a->job);
+  int worker = job->worker;
 
-  w->actions++;
+  sim->actions++;
   if (a->kind == MT_JOB_START)
     {
-      carry_out_start (w, t, a);
+      start_job (sim, job, a);
       return;
     }
   if (a->kind == MT_JOB_THROTTLE || worker < 0)
     return;
-  stop_running (w, t);
+  stop_running (sim, job);
   if (a->kind == MT_JOB_CHECKPOINT)
-    report_later (w, t, worker, a->epoch, MT_REPORT_CHECKPOINTED, CHECKPOINT_TICKS);
+    queue_report (sim, job, worker, a->epoch, MT_REPORT_CHECKPOINTED, CHECKPOINT_TICKS);
   else
-    report_later (w, t, worker, a->epoch, MT_REPORT_STOPPED, DELIVERY_TICKS);
+    queue_report (sim, job, worker, a->epoch, MT_REPORT_STOPPED, DELIVERY_TICKS);
 }
 
 static void
-plan (struct world *w)
+run_plan (struct sim *sim)
 {
   g_autoptr (GArray) actions = g_array_new (FALSE, FALSE, sizeof (struct mt_job_action));
   g_autoptr (GString) batch = g_string_new (NULL);
   double before = cpu_seconds ();
   double took;
 
-  mt_jobs_plan (w->jobs, actions);
-  mt_jobs_take_changes (w->jobs, batch);
+  mt_jobs_plan (sim->jobs, actions);
+  mt_jobs_take_changes (sim->jobs, batch);
   took = cpu_seconds () - before;
-  w->plan_cpu_s += took;
-  w->plan_worst_s = MAX (w->plan_worst_s, took);
-  w->plans++;
-  w->record_bytes += batch->len;
-  w->batches += batch->len > 0;
+  sim->plan_cpu_s += took;
+  sim->max_plan_s = MAX (sim->max_plan_s, took);
+  sim->plans++;
+  sim->record_bytes += batch->len;
+  sim->batches += batch->len > 0;
   for (guint i = 0; i < actions->len; i++)
-    carry_out (w, &g_array_index (actions, struct mt_job_action, i));
+    perform_action (sim, &g_array_index (actions, struct mt_job_action, i));
 }
 
 static void
-note_overcommitted (struct world *w)
+count_overcommitted (struct sim *sim)
 {
-  for (unsigned i = 0; i < w->scenario->workers; i++)
+  for (unsigned i = 0; i < sim->scenario->workers; i++)
     {
-      w->cpu_over_ticks += w->used[i].cpu_milli > WORKER_CPU_MILLI;
-      w->memory_over_ticks += w->used[i].memory_mb > WORKER_MEMORY_MB;
+      sim->cpu_over_ticks += sim->used[i].cpu_milli > WORKER_CPU_MILLI;
+      sim->memory_over_ticks += sim->used[i].memory_mb > WORKER_MEMORY_MB;
     }
 }
 
 static void
-run_tasks (struct world *w, unsigned tick)
+run_tasks (struct sim *sim, unsigned tick)
 {
   double dt = (double) TICK_US / MT_SECOND;
 
-  for (guint i = w->running->len; i-- > 0;)
+  for (guint i = sim->running->len; i-- > 0;)
     {
-      struct truth *t = w->running->pdata[i];
+      struct sim_job *job = sim->running->pdata[i];
 
-      t->left_s -= dt;
-      w->used_cpu_s += dt * t->size.cpu_milli / 1000.0;
-      if (t->left_s <= 0)
+      job->remaining_s -= dt;
+      sim->used_cpu_s += dt * job->size.cpu_milli / 1000.0;
+      if (job->remaining_s <= 0)
         {
-          int worker = t->worker;
+          int worker = job->worker;
 
-          stop_running (w, t);
-          t->ended = true;
-          report_later (w, t, worker, t->epoch, MT_REPORT_DONE, 1);
+          stop_running (sim, job);
+          job->ended = true;
+          queue_report (sim, job, worker, job->epoch, MT_REPORT_DONE, 1);
         }
       else if ((tick + i) % REPORT_TICKS == 0)
-        report_later (w, t, t->worker, t->epoch, MT_REPORT_RUNNING, 1);
+        queue_report (sim, job, job->worker, job->epoch, MT_REPORT_RUNNING, 1);
     }
 }
 
-/* The most that could be used if work were a fluid: each pool's workers take from its backlog. */
+/* The upper bound of utilisation, with divisible work: each pool's workers take as much of the
+ * pool's backlog as they can. */
 static void
-advance_bound (struct world *w)
+advance_bound (struct sim *sim)
 {
-  const struct mt_jobs_scenario *s = w->scenario;
+  const struct mt_jobs_scenario *s = sim->scenario;
   double dt = (double) TICK_US / MT_SECOND;
 
   for (unsigned i = 0; i < s->pools; i++)
     {
       unsigned workers = s->workers / s->pools + (i < s->workers % s->pools);
       double most = workers * (WORKER_CPU_MILLI / 1000.0) * dt;
-      double served = MIN (most, w->backlog_cpu_s[i]);
+      double served = MIN (most, sim->backlog_cpu_s[i]);
 
-      w->backlog_cpu_s[i] -= served;
-      w->bound_cpu_s += served;
+      sim->backlog_cpu_s[i] -= served;
+      sim->bound_cpu_s += served;
     }
 }
 
@@ -479,23 +483,24 @@
   return sorted->len > 0 ? g_array_index (sorted, double, (guint) (q * (sorted->len - 1))) : 0.0;
 }
 
-/* Delays until the first start of urgent jobs whose team was within its quota, or beyond it. */
+/* Delays from submission to first start of the urgent jobs whose team was within its quota, or of
+ * those whose team was beyond it. */
 static json_t *
-describe_urgent (const struct world *w, bool within_quota)
+describe_urgent (const struct sim *sim, bool within_quota)
 {
   g_autoptr (GArray) delays = g_array_new (FALSE, FALSE, sizeof (double));
   unsigned waiting = 0;
 
-  for (guint i = 0; i < w->all->len; i++)
+  for (guint i = 0; i < sim->all_jobs->len; i++)
     {
-      const struct truth *t = w->all->pdata[i];
-      double delay = (double) (t->first_start_us - t->submitted_us) / MT_SECOND;
+      const struct sim_job *job = sim->all_jobs->pdata[i];
+      double delay = (double) (job->first_start_us - job->submitted_us) / MT_SECOND;
 
-      if (t->urgency != MT_URGENCY_URGENT || t->within_quota != within_quota)
+      if (job->urgency != MT_URGENCY_URGENT || job->within_quota != within_quota)
         continue;
-      if (t->first_start_us != 0)
+      if (job->first_start_us != 0)
         g_array_append_val (delays, delay);
-      else if (mt_jobs_state (w->jobs, t->name) == MT_JOB_WAITING)
+      else if (mt_jobs_state (sim->jobs, job->name) == MT_JOB_WAITING)
         waiting++;
     }
   g_array_sort (delays, compare_doubles);
@@ -505,9 +510,9 @@
 }
 
 static json_t *
-describe (const struct world *w, size_t memory)
+describe (const struct sim *sim, size_t memory)
 {
-  const struct mt_jobs_scenario *s = w->scenario;
+  const struct mt_jobs_scenario *s = sim->scenario;
   double capacity = s->workers * (WORKER_CPU_MILLI / 1000.0) * s->seconds;
   unsigned quarantined = 0;
   unsigned broken = 0;
@@ -516,21 +521,21 @@
 
   for (unsigned i = 0; i < s->workers; i++)
     {
-      quarantined += mt_jobs_is_quarantined (w->jobs, w->worker_names[i]);
-      broken += w->broken[i];
+      quarantined += mt_jobs_is_quarantined (sim->jobs, sim->worker_names[i]);
+      broken += sim->broken[i];
     }
-  out = json_pack ("{si so so sf sf sf si si si si sI si}", "submitted", (int) w->all->len,
-                   "urgent_within_quota", describe_urgent (w, true), "urgent_beyond_quota",
-                   describe_urgent (w, false), "utilisation", w->used_cpu_s / capacity,
-                   "cpu_over_share", (double) w->cpu_over_ticks / rounds, "memory_over_share",
-                   (double) w->memory_over_ticks / rounds, "failures", (int) w->failures,
+  out = json_pack ("{si so so sf sf sf si si si si sI si}", "submitted", (int) sim->all_jobs->len,
+                   "urgent_within_quota", describe_urgent (sim, true), "urgent_beyond_quota",
+                   describe_urgent (sim, false), "utilisation", sim->used_cpu_s / capacity,
+                   "cpu_over_share", (double) sim->cpu_over_ticks / rounds, "memory_over_share",
+                   (double) sim->memory_over_ticks / rounds, "failures", (int) sim->failures,
                    "broken_workers", (int) broken, "quarantined", (int) quarantined, "actions",
-                   (int) w->actions, "record_bytes", (json_int_t) w->record_bytes, "record_writes",
-                   (int) w->batches);
+                   (int) sim->actions, "record_bytes", (json_int_t) sim->record_bytes,
+                   "record_writes", (int) sim->batches);
   if (s->cost)
     json_object_set_new (out, "cost",
-                         json_pack ("{sf sf sf}", "core_share", w->plan_cpu_s / s->seconds,
-                                    "worst_plan_ms", w->plan_worst_s * 1e3, "book_mb",
+                         json_pack ("{sf sf sf}", "core_share", sim->plan_cpu_s / s->seconds,
+                                    "worst_plan_ms", sim->max_plan_s * 1e3, "book_mb",
                                     (double) memory / 1e6));
   return out;
 }
@@ -541,25 +546,25 @@
             double *bound)
 {
   size_t before = mallinfo2 ().uordblks;
-  struct world *w = create_world (s, placement);
+  struct sim *sim = create_sim (s, placement);
   unsigned ticks = (unsigned) (s->seconds * MT_SECOND / TICK_US);
   json_t *out;
 
   for (unsigned tick = 0; tick < ticks; tick++)
     {
-      arrive (w);
-      advance_bound (w);
+      submit_arrivals (sim);
+      advance_bound (sim);
       if (tick % CANCEL_WAVE_TICKS == CANCEL_WAVE_TICKS - 1)
-        cancel_wave (w);
-      deliver_reports (w);
-      plan (w);
-      mt_clock_manual_advance (w->manual, TICK_US);
-      run_tasks (w, tick);
-      note_overcommitted (w);
+        cancel_random_jobs (sim);
+      deliver_reports (sim);
+      run_plan (sim);
+      mt_clock_manual_advance (sim->manual, TICK_US);
+      run_tasks (sim, tick);
+      count_overcommitted (sim);
     }
-  *bound = w->bound_cpu_s / (s->workers * (WORKER_CPU_MILLI / 1000.0) * s->seconds);
-  out = describe (w, mallinfo2 ().uordblks - before);
-  destroy_world (w);
+  *bound = sim->bound_cpu_s / (s->workers * (WORKER_CPU_MILLI / 1000.0) * s->seconds);
+  out = describe (sim, mallinfo2 ().uordblks - before);
+  destroy_sim (sim);
   return out;
 }
 
--- a/measure/jobs_scenario.h
+++ b/measure/jobs_scenario.h
@@ -1,6 +1,6 @@
-/* The jobs scenario of medlartrack-measure: the book of core/jobs under a fleet's load, with a
- * paused clock and a few lines in place of the workers. Deterministic from its seed, but for the
- * cost. */
+/* The jobs scenario of medlartrack-measure: runs the scheduler of core/jobs under a fleet's load,
+ * with a manual clock and a simple model of the workers. Deterministic for a given seed, except for
+ * the cost. */
 #ifndef MT_JOBS_SCENARIO_H
 #define MT_JOBS_SCENARIO_H
 
@@ -15,10 +15,10 @@
   unsigned teams;
   unsigned pools;
   unsigned seconds; /* of simulated time */
-  bool cost;        /* adds processor time and memory, which differ from run to run */
+  bool cost;        /* also reports processor time and memory, which differ between runs */
 };
 
-/* One object: {"policies": {NAME: {...}}, "bound": {...}}. */
+/* Returns {"policies": {NAME: {...}}, "bound": {...}}, owned by the caller. */
 json_t *mt_jobs_scenario_run (const struct mt_jobs_scenario *scenario);
 
 #endif
--- a/measure/main.c
+++ b/measure/main.c
@@ -1,4 +1,4 @@
-/* Drives the core's policies through a deployment's load and prints what they cost. */
+/* Runs the core's policies on a deployment's load and prints what each costs. */
 #include "jobs_scenario.h"
 #include "sim.h"
 
@@ -14,8 +14,8 @@
   const struct mt_capacity_policy *policy; /* NULL: all */
   uint32_t seed;
   bool json;
-  bool jobs;                     /* the jobs scenario in place of a deployment's load */
-  struct mt_jobs_scenario fleet; /* its size */
+  bool jobs;                             /* run the jobs scenario in place of a deployment's load */
+  struct mt_jobs_scenario jobs_scenario; /* sizes for the jobs scenario */
 };
 
 const char *argp_program_version = "medlartrack-measure 0.1.0";
@@ -24,13 +24,14 @@
   { "deployment", 'd', "NAME", 0, "kovacs or skovlund", 0 },
   { "seed", 's', "N", 0, "The load's seed; 1 unless given", 0 },
   { "policy", 'p', "NAME", 0, "Only this policy: default, static or greedy", 0 },
-  { "json", 'j', NULL, 0, "Print one JSON object", 0 },
+  { "json", 'j', NULL, 0, "Print a JSON object", 0 },
   { "scenario", 'S', "NAME", 0, "requests (default) or jobs; jobs takes the sizes below", 0 },
   { "workers", 'w', "N", 0, "jobs: workers, 50 unless given", 1 },
   { "teams", 't', "N", 0, "jobs: teams, 10 unless given", 1 },
   { "pools", 'P', "N", 0, "jobs: pools, 5 unless given", 1 },
   { "seconds", 'T', "N", 0, "jobs: simulated time, 600 unless given", 1 },
-  { "cost", 'c', NULL, 0, "jobs: adds processor time and memory, which differ by run", 1 },
+  { "cost", 'c', NULL, 0, "jobs: also print processor time and memory, which differ between runs",
+    1 },
   { 0 },
 };
 
@@ -40,7 +41,7 @@
   guint64 n = 0;
 
   if (!g_ascii_string_to_unsigned (arg, 10, 1, 1000000, &n, NULL))
-    argp_error (state, "\"%s\" is no number from 1 to 1000000", arg);
+    argp_error (state, "\"%s\" is not a number from 1 to 1000000", arg);
   return (unsigned) n;
 }
 
@@ -54,22 +55,22 @@
     case 'S':
       arguments->jobs = strcmp (arg, "jobs") == 0;
       if (!arguments->jobs && strcmp (arg, "requests") != 0)
-        argp_error (state, "no scenario \"%s\"; give requests or jobs", arg);
+        argp_error (state, "unknown scenario \"%s\"; use requests or jobs", arg);
       return 0;
     case 'w':
-      arguments->fleet.workers = read_count (state, arg);
+      arguments->jobs_scenario.workers = read_count (state, arg);
       return 0;
     case 't':
-      arguments->fleet.teams = read_count (state, arg);
+      arguments->jobs_scenario.teams = read_count (state, arg);
       return 0;
     case 'P':
-      arguments->fleet.pools = read_count (state, arg);
+      arguments->jobs_scenario.pools = read_count (state, arg);
       return 0;
     case 'T':
-      arguments->fleet.seconds = read_count (state, arg);
+      arguments->jobs_scenario.seconds = read_count (state, arg);
       return 0;
     case 'c':
-      arguments->fleet.cost = true;
+      arguments->jobs_scenario.cost = true;
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -87,17 +88,17 @@
     case 'd':
       arguments->deployment = fleet_deployment_find (arg);
       if (arguments->deployment == NULL)
-        argp_error (state, "no deployment \"%s\"; give kovacs or skovlund", arg);
+        argp_error (state, "unknown deployment \"%s\"; use kovacs or skovlund", arg);
       return 0;
     case 's':
       if (!g_ascii_string_to_unsigned (arg, 10, 0, G_MAXUINT32, &seed, NULL))
-        argp_error (state, "seed \"%s\" is no number from 0 to %u", arg, G_MAXUINT32);
+        argp_error (state, "seed \"%s\" is not a number from 0 to %u", arg, G_MAXUINT32);
       arguments->seed = (uint32_t) seed;
       return 0;
     case 'p':
       arguments->policy = mt_capacity_policy_find (arg);
       if (arguments->policy == NULL)
-        argp_error (state, "no policy \"%s\"; give default, static or greedy", arg);
+        argp_error (state, "unknown policy \"%s\"; use default, static or greedy", arg);
       return 0;
     case 'j':
       arguments->json = true;
@@ -114,7 +115,7 @@
 static json_t *
 run_jobs (const struct arguments *arguments)
 {
-  struct mt_jobs_scenario scenario = arguments->fleet;
+  struct mt_jobs_scenario scenario = arguments->jobs_scenario;
 
   scenario.seed = arguments->seed;
   return mt_jobs_scenario_run (&scenario);
@@ -154,7 +155,8 @@
                     (json_int_t) r->unknown, "broken", broken);
 }
 
-/* The bound is that of the first policy: failures, and so the budget left, are the same for all. */
+/* Sets the bound from the first policy that runs. Failures, and so the remaining budget, are the
+ * same for all policies. */
 static json_t *
 run_policy (const struct arguments *arguments,
             const struct mt_capacity_policy *policy,
@@ -222,7 +224,7 @@
       = { options, parse_option, NULL, "Measures the policies on a deployment's load.",
           NULL,    NULL,         NULL };
   struct arguments arguments
-      = { .seed = 1, .fleet = { .workers = 50, .teams = 10, .pools = 5, .seconds = 600 } };
+      = { .seed = 1, .jobs_scenario = { .workers = 50, .teams = 10, .pools = 5, .seconds = 600 } };
   json_t *root;
 
   argp_parse (&argp, argc, argv, 0, NULL, &arguments);
--- a/measure/sim.c
+++ b/measure/sim.c
@@ -7,23 +7,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RUN_S       1800
-#define STEP_US     (100 * MT_MS)
-#define DAEMONS     2
-#define DEADLINE_US (5 * MT_SECOND)
-#define MARGIN_US   (4 * FLEET_SERVICE_US) /* left for the work itself, or it isn't begun */
-#define REBOOT_US   (60 * MT_SECOND)
-#define LIST_LAG_US (2 * MT_SECOND)
-#define WATCH_US    (200 * MT_MS) /* most that a watch takes to tell of a write */
-#define WAVE_AT_S   400
-#define OUTAGE_AT_S 900
-#define OUTAGE_S    60
-#define RACK_AT_S   1450
-#define RACK_S      120
-#define FAILURES    4 /* of single instances, at random times */
-#define FAILURE_S   90
-#define LIE_SHARE   0.01
-#define LIE_FACTOR  3.0
+#define RUN_S              1800
+#define STEP_US            (100 * MT_MS)
+#define DAEMONS            2
+#define DEADLINE_US        (5 * MT_SECOND)
+#define START_MARGIN_US    (4 * FLEET_SERVICE_US) /* a request with less time left is not started */
+#define REBOOT_US          (60 * MT_SECOND)
+#define LIST_INTERVAL_US   (2 * MT_SECOND)
+#define MAX_WATCH_DELAY_US (200 * MT_MS) /* longest delay from a write to its watch events */
+#define WAVE_AT_S          400
+#define OUTAGE_AT_S        900
+#define OUTAGE_S           60
+#define RACK_FAILURE_AT_S  1450
+#define RACK_FAILURE_S     120
+#define MEAN_FAILURES      4 /* expected number of failures of single instances in a run */
+#define FAILURE_S          90
+#define MISREPORT_SHARE    0.01
+#define MISREPORT_FACTOR   3.0
 
 static const int edits_s[] = { 200, WAVE_AT_S, OUTAGE_AT_S - 1, 1000 };
 
@@ -43,7 +43,7 @@
 {
   char *name;
   char *rack;
-  GArray *work; /* struct work */
+  GArray *work; /* of struct work */
   bool failed;
   int64_t back_us; /* end of a reboot or failure; 0: up */
   uint64_t boot;
@@ -52,11 +52,11 @@
 
 struct daemon
 {
-  struct mt_assign *doc; /* in force */
-  struct mt_assign *due; /* on its way */
-  int64_t due_us;
-  GArray *loads; /* struct mt_member_load: its last report */
-  uint64_t reported;
+  struct mt_assign *assignment; /* in force */
+  struct mt_assign *pending;    /* in force once pending_at_us has passed, or NULL */
+  int64_t pending_at_us;
+  GArray *loads; /* of struct mt_member_load: the last report */
+  uint64_t reported_version;
 };
 
 struct sim
@@ -67,17 +67,18 @@
   char zone[8];
   struct sim_result *result;
   struct mt_tables *tables[G_N_ELEMENTS (edits_s) + 1];
-  unsigned version; /* accepted; the planner reads it at once, or not at all */
+  unsigned version; /* index of the accepted tables, which the planner reads without delay */
   struct mt_capacity *capacity;
   struct fleet_load *load;
   struct mt_assign *stored;
   struct daemon daemons[DAEMONS];
-  GArray *instances; /* struct instance, sorted by name */
-  GArray *list;      /* struct mt_planner_instance: the platform's, lagging */
+  GArray *instances;     /* of struct instance, sorted by name */
+  GArray *platform_list; /* of struct mt_planner_instance: the platform's list, up to
+                            LIST_INTERVAL_US old */
   GQueue queues[FLEET_SERVICES];
   struct mt_capacity_demand demands[FLEET_SERVICES];
   double wave_s;
-  double held_up_s[FLEET_SERVICES]; /* of the wave's time, with the budget spent by failures */
+  double blocked_s[FLEET_SERVICES]; /* time in the wave with the budget used up by failures */
 };
 
 static const char *const pool_names[] = { "p0", "p1", "p2", "p3", "p4" };
@@ -107,7 +108,7 @@
 }
 
 static void
-crash (struct sim *sim, struct instance *instance, int64_t for_us)
+crash_instance (struct sim *sim, struct instance *instance, int64_t for_us)
 {
   sim->result->unknown += instance->work->len;
   g_array_set_size (instance->work, 0);
@@ -116,23 +117,24 @@
 }
 
 static void
-fail_some (struct sim *sim)
+inject_failures (struct sim *sim)
 {
   int64_t now = now_us (sim);
-  double chance = (double) FAILURES / RUN_S * STEP_US / MT_SECOND;
+  double chance = (double) MEAN_FAILURES / RUN_S * STEP_US / MT_SECOND;
 
-  if (now == RACK_AT_S * MT_SECOND)
+  if (now == RACK_FAILURE_AT_S * MT_SECOND)
     for (guint i = 0; i < sim->instances->len; i++)
       if (strcmp (instance_at (sim, i)->rack, instance_at (sim, 0)->rack) == 0)
-        crash (sim, instance_at (sim, i), RACK_S * MT_SECOND);
+        crash_instance (sim, instance_at (sim, i), RACK_FAILURE_S * MT_SECOND);
   if (g_rand_double (sim->rand) < chance)
-    crash (sim,
-           instance_at (sim, (guint) g_rand_int_range (sim->rand, 0, (gint32) sim->instances->len)),
-           FAILURE_S * MT_SECOND);
+    crash_instance (
+        sim,
+        instance_at (sim, (guint) g_rand_int_range (sim->rand, 0, (gint32) sim->instances->len)),
+        FAILURE_S * MT_SECOND);
 }
 
 static void
-end_work (struct sim *sim, struct instance *instance)
+advance_instance (struct sim *sim, struct instance *instance)
 {
   for (guint i = instance->work->len; i-- > 0;)
     if (g_array_index (instance->work, struct work, i).end_us <= now_us (sim))
@@ -147,18 +149,19 @@
   instance->boot++;
 }
 
-/* In force at each daemon a little after the write; not at all while the platform is away. */
+/* Puts a written assignment in force on each daemon after its watch delay; called only while the
+ * platform is up. */
 static void
-deliver (struct sim *sim)
+deliver_assignments (struct sim *sim)
 {
   for (unsigned d = 0; d < DAEMONS; d++)
     {
       struct daemon *daemon = &sim->daemons[d];
 
-      if (daemon->due == NULL || daemon->due_us > now_us (sim))
+      if (daemon->pending == NULL || daemon->pending_at_us > now_us (sim))
         continue;
-      mt_assign_destroy (daemon->doc);
-      daemon->doc = g_steal_pointer (&daemon->due);
+      mt_assign_destroy (daemon->assignment);
+      daemon->assignment = g_steal_pointer (&daemon->pending);
     }
 }
 
@@ -172,15 +175,16 @@
       struct daemon *daemon = &sim->daemons[d];
       g_autofree char *text = mt_assign_format (next);
 
-      mt_assign_destroy (daemon->due);
-      daemon->due = mt_assign_parse (mt_str_from (text), NULL);
-      daemon->due_us
-          = now_us (sim) + g_rand_int_range (sim->rand, WATCH_US / 10, (gint32) WATCH_US);
+      mt_assign_destroy (daemon->pending);
+      daemon->pending = mt_assign_parse (mt_str_from (text), NULL);
+      daemon->pending_at_us
+          = now_us (sim)
+            + g_rand_int_range (sim->rand, MAX_WATCH_DELAY_US / 10, (gint32) MAX_WATCH_DELAY_US);
     }
 }
 
 static unsigned
-count_at_work (const struct instance *instance, unsigned daemon)
+count_in_flight (const struct instance *instance, unsigned daemon)
 {
   unsigned count = 0;
 
@@ -190,16 +194,16 @@
 }
 
 static void
-report (struct sim *sim, unsigned d)
+report_loads (struct sim *sim, unsigned d)
 {
   struct daemon *daemon = &sim->daemons[d];
 
-  daemon->reported = daemon->doc != NULL ? daemon->doc->version : 0;
+  daemon->reported_version = daemon->assignment != NULL ? daemon->assignment->version : 0;
   g_array_set_size (daemon->loads, 0);
   for (guint i = 0; i < sim->instances->len; i++)
     {
       struct mt_member_load load
-          = { instance_at (sim, i)->name, count_at_work (instance_at (sim, i), d) };
+          = { instance_at (sim, i)->name, count_in_flight (instance_at (sim, i), d) };
 
       if (load.in_flight > 0)
         g_array_append_val (daemon->loads, load);
@@ -216,26 +220,26 @@
       busy[g_array_index (instance_at (sim, i)->work, struct work, w).pool]++;
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     {
-      double lie = g_rand_double (sim->rand) < LIE_SHARE ? LIE_FACTOR : 1;
+      double factor = g_rand_double (sim->rand) < MISREPORT_SHARE ? MISREPORT_FACTOR : 1;
 
       sim->demands[s] = (struct mt_capacity_demand){
         pool_names[s],
-        (busy[s] + g_queue_get_length (&sim->queues[s])) * lie,
+        (busy[s] + g_queue_get_length (&sim->queues[s])) * factor,
       };
     }
 }
 
 static void
-relist (struct sim *sim)
+refresh_platform_list (struct sim *sim)
 {
-  g_array_set_size (sim->list, 0);
+  g_array_set_size (sim->platform_list, 0);
   for (guint i = 0; i < sim->instances->len; i++)
     {
       const struct instance *instance = instance_at (sim, i);
       struct mt_planner_instance row
           = { instance->name, instance->back_us != 0, false, instance->boot, instance->epoch };
 
-      g_array_append_val (sim->list, row);
+      g_array_append_val (sim->platform_list, row);
     }
 }
 
@@ -249,7 +253,7 @@
 }
 
 static void
-reboot (struct sim *sim, const struct mt_planner_reboot *order)
+reboot_instance (struct sim *sim, const struct mt_planner_reboot *order)
 {
   struct instance *instance = find_instance (sim, order->instance);
 
@@ -262,7 +266,7 @@
 }
 
 static unsigned
-planned_out (const struct mt_assign *assign, const char *pool)
+count_planned_out (const struct mt_assign *assign, const char *pool)
 {
   unsigned count = 0;
 
@@ -273,7 +277,8 @@
   return count;
 }
 
-/* Where a step took one more out by plan, all that it could know to be out must fit the budget. */
+/* If a step took another instance out of service by plan, all instances that the planner knew to be
+ * unavailable must fit the budget. */
 static void
 check_budgets (struct sim *sim, const struct mt_planner_input *input, const struct mt_assign *next)
 {
@@ -281,14 +286,14 @@
     {
       const struct mt_pool *pool = &input->tables->pools[s];
 
-      if (planned_out (next, pool_names[s]) > planned_out (sim->stored, pool_names[s])
+      if (count_planned_out (next, pool_names[s]) > count_planned_out (sim->stored, pool_names[s])
           && mt_planner_unavailable (input, next, pool->service) > pool->max_unavailable)
         sim->result->broken_budget++;
     }
 }
 
 static void
-note_wave (struct sim *sim, const struct mt_planner_input *input)
+update_wave (struct sim *sim, const struct mt_planner_input *input)
 {
   const struct mt_assign *assign = sim->stored;
   bool ended = assign->n_waves == FLEET_SERVICES;
@@ -300,9 +305,9 @@
       struct mt_str service = input->tables->pools[s].service;
       unsigned out = mt_planner_unavailable (input, assign, service);
 
-      if (out - MIN (out, planned_out (assign, pool_names[s]))
+      if (out - MIN (out, count_planned_out (assign, pool_names[s]))
           >= mt_planner_budget (input->tables, service))
-        sim->held_up_s[s]++;
+        sim->blocked_s[s]++;
     }
   for (size_t i = 0; i < assign->n_records; i++)
     ended &= assign->records[i].wave_state != MT_WAVE_WAITING;
@@ -322,8 +327,8 @@
     .now_s = now_us (sim) / MT_SECOND,
     .members = members,
     .n_members = DAEMONS,
-    .instances = (void *) sim->list->data,
-    .n_instances = sim->list->len,
+    .instances = (void *) sim->platform_list->data,
+    .n_instances = sim->platform_list->len,
     .capacity = sim->capacity,
     .demands = sim->demands,
     .n_demands = FLEET_SERVICES,
@@ -331,24 +336,25 @@
 
   for (unsigned d = 0; d < DAEMONS; d++)
     members[d] = (struct mt_assign_member){ .name = d == 0 ? "d0" : "d1",
-                                            .version = sim->daemons[d].reported,
+                                            .version = sim->daemons[d].reported_version,
                                             .loads = (void *) sim->daemons[d].loads->data,
                                             .n_loads = sim->daemons[d].loads->len };
   mt_planner_step (&input, next, result);
   check_budgets (sim, &input, next);
   sim->result->moves += result->moves;
   for (guint i = 0; i < result->reboots->len; i++)
-    reboot (sim, &g_array_index (result->reboots, struct mt_planner_reboot, i));
+    reboot_instance (sim, &g_array_index (result->reboots, struct mt_planner_reboot, i));
   if (result->changed)
     publish (sim, next);
   else
     mt_assign_destroy (next);
-  note_wave (sim, &input);
+  update_wave (sim, &input);
   mt_planner_result_destroy (result);
 }
 
-/* The watch tells every daemon; in an outage the one that was told before it spreads the tables by
- * heartbeats, one hop each second. */
+/* Accepts the edit scheduled for this moment, if any, and records how long it takes to reach the
+ * last daemon. Daemons learn of it by their watch; in an outage, a daemon that got it before
+ * spreads it by heartbeats, one hop a second. */
 static void
 accept_edits (struct sim *sim)
 {
@@ -368,7 +374,7 @@
 }
 
 static unsigned
-poisson (struct sim *sim, double mean)
+draw_poisson (struct sim *sim, double mean)
 {
   double limit = exp (-mean);
   double product = g_rand_double (sim->rand);
@@ -386,25 +392,28 @@
 
   for (guint i = 0; i < sim->instances->len; i++)
     if (instance_at (sim, i)->back_us == 0
-        && mt_assign_serves (sim->daemons[0].doc, instance_at (sim, i)->name, pool_names[pool]))
+        && mt_assign_serves (sim->daemons[0].assignment, instance_at (sim, i)->name,
+                             pool_names[pool]))
       slots += FLEET_SLOTS;
   return slots;
 }
 
-/* Refused at once where the queue would outlast the deadline. */
+/* Queues the requests of one step. Refuses those whose wait in the queue would exceed the deadline.
+ */
 static void
-arrive (struct sim *sim, unsigned pool)
+add_arrivals (struct sim *sim, unsigned pool)
 {
   double rate = fleet_load_at (sim->load, pool, now_s (sim)) / FLEET_SERVICE_US * STEP_US;
   unsigned slots = usable_slots (sim, pool);
 
-  for (unsigned n = poisson (sim, rate); n > 0; n--)
+  for (unsigned n = draw_poisson (sim, rate); n > 0; n--)
     {
       GQueue *queue = &sim->queues[pool];
       struct request *request;
 
       sim->result->asked++;
-      if (slots == 0 || (double) queue->length * FLEET_SERVICE_US / slots > DEADLINE_US - MARGIN_US)
+      if (slots == 0
+          || (double) queue->length * FLEET_SERVICE_US / slots > DEADLINE_US - START_MARGIN_US)
         {
           sim->result->refused++;
           continue;
@@ -425,7 +434,7 @@
       struct instance *instance = instance_at (sim, i);
 
       if (instance->back_us != 0 || instance->work->len >= FLEET_SLOTS
-          || !mt_assign_serves (sim->daemons[daemon].doc, instance->name, pool_names[pool]))
+          || !mt_assign_serves (sim->daemons[daemon].assignment, instance->name, pool_names[pool]))
         continue;
       if (best == NULL || instance->work->len < best->work->len)
         best = instance;
@@ -434,7 +443,8 @@
 }
 
 static void
-start (struct sim *sim, struct instance *instance, unsigned pool, unsigned daemon, int64_t deadline)
+start_request (
+    struct sim *sim, struct instance *instance, unsigned pool, unsigned daemon, int64_t deadline)
 {
   double takes = -log (1 - g_rand_double (sim->rand)) * FLEET_SERVICE_US;
   struct work work = { now_us (sim) + (int64_t) takes, pool, daemon };
@@ -450,7 +460,7 @@
 }
 
 static void
-dispatch (struct sim *sim, unsigned pool)
+dispatch_queue (struct sim *sim, unsigned pool)
 {
   GQueue *queue = &sim->queues[pool];
   struct request *request;
@@ -460,18 +470,18 @@
       unsigned daemon = (unsigned) g_rand_int_range (sim->rand, 0, DAEMONS);
       struct instance *instance = pick_minion (sim, pool, daemon);
 
-      if (request->deadline_us - MARGIN_US > now_us (sim) && instance == NULL)
+      if (request->deadline_us - START_MARGIN_US > now_us (sim) && instance == NULL)
         return;
-      if (request->deadline_us - MARGIN_US > now_us (sim))
-        start (sim, instance, pool, daemon, request->deadline_us);
+      if (request->deadline_us - START_MARGIN_US > now_us (sim))
+        start_request (sim, instance, pool, daemon, request->deadline_us);
       else
         sim->result->refused++;
       g_free (g_queue_pop_head (queue));
     }
 }
 
-/* Idle slots count as held in every pool; in the spare only as far as the policy asks to hold its
- * instances: the rest is free for other work. */
+/* Adds up idle slots, which count as buffer. In the spare pool only as many instances count as the
+ * policy wants to hold there: the rest is free for other work. */
 static void
 measure_buffer (struct sim *sim)
 {
@@ -494,29 +504,29 @@
 }
 
 static void
-step (struct sim *sim)
+run_step (struct sim *sim)
 {
   int64_t now = now_us (sim);
 
   accept_edits (sim);
-  fail_some (sim);
+  inject_failures (sim);
   for (guint i = 0; i < sim->instances->len; i++)
-    end_work (sim, instance_at (sim, i));
+    advance_instance (sim, instance_at (sim, i));
   if (platform_is_up (sim))
-    deliver (sim);
+    deliver_assignments (sim);
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     {
-      arrive (sim, s);
-      dispatch (sim, s);
+      add_arrivals (sim, s);
+      dispatch_queue (sim, s);
     }
   if (now % MT_SECOND == 500 * MT_MS)
     {
       for (unsigned d = 0; d < DAEMONS; d++)
-        report (sim, d);
+        report_loads (sim, d);
       report_demand (sim);
     }
-  if (now % LIST_LAG_US == 0)
-    relist (sim);
+  if (now % LIST_INTERVAL_US == 0)
+    refresh_platform_list (sim);
   if (now % MT_SECOND == 0 && platform_is_up (sim))
     step_planner (sim);
   measure_buffer (sim);
@@ -548,10 +558,11 @@
       }
 }
 
-/* The best that the budget allows: a service's instances one budget after the other, each for just
- * its reboot, and nothing while failures spent the budget. */
+/* The lower bound of the wave's duration: each service reboots as many instances at a time as its
+ * budget allows, each takes only the time of a reboot, and nothing proceeds while failures use up
+ * the budget. */
 static void
-note_bound (struct sim *sim, const unsigned *home)
+record_wave_bound (struct sim *sim, const unsigned *home)
 {
   double bound = 0;
 
@@ -560,7 +571,7 @@
       unsigned budget = sim->tables[0]->pools[s].max_unavailable;
       double own = ceil ((double) home[s] / budget) * REBOOT_US / MT_SECOND;
 
-      bound = MAX (bound, own + sim->held_up_s[s]);
+      bound = MAX (bound, own + sim->blocked_s[s]);
     }
   if (sim->wave_s == 0)
     sim->wave_s = RUN_S - WAVE_AT_S;
@@ -569,7 +580,7 @@
 }
 
 static void
-clear (struct sim *sim)
+clear_sim (struct sim *sim)
 {
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     g_queue_clear_full (&sim->queues[s], g_free);
@@ -581,14 +592,14 @@
     }
   for (unsigned d = 0; d < DAEMONS; d++)
     {
-      mt_assign_destroy (sim->daemons[d].doc);
-      mt_assign_destroy (sim->daemons[d].due);
+      mt_assign_destroy (sim->daemons[d].assignment);
+      mt_assign_destroy (sim->daemons[d].pending);
       g_array_free (sim->daemons[d].loads, TRUE);
     }
   for (unsigned e = 0; e < G_N_ELEMENTS (sim->tables); e++)
     mt_tables_destroy (sim->tables[e]);
   g_array_free (sim->instances, TRUE);
-  g_array_free (sim->list, TRUE);
+  g_array_free (sim->platform_list, TRUE);
   mt_assign_destroy (sim->stored);
   mt_capacity_destroy (sim->capacity);
   fleet_load_destroy (sim->load);
@@ -613,7 +624,7 @@
   for (unsigned e = 0; e < G_N_ELEMENTS (sim.tables); e++)
     sim.tables[e] = fleet_tables (deployment, e + 1, e >= 2 ? "w1" : NULL);
   sim.instances = g_array_new (FALSE, TRUE, sizeof (struct instance));
-  sim.list = g_array_new (FALSE, TRUE, sizeof (struct mt_planner_instance));
+  sim.platform_list = g_array_new (FALSE, TRUE, sizeof (struct mt_planner_instance));
   build_instances (&sim, home);
   sim.load = fleet_load_create (seed * 31 + zone, home, RUN_S);
   sim.capacity = mt_capacity_create (policy);
@@ -623,11 +634,11 @@
   report_demand (&sim);
   for (int64_t t = 0; t < RUN_S * MT_SECOND; t += STEP_US)
     {
-      step (&sim);
+      run_step (&sim);
       mt_clock_manual_advance (sim.manual, STEP_US);
     }
-  note_bound (&sim, home);
-  clear (&sim);
+  record_wave_bound (&sim, home);
+  clear_sim (&sim);
 }
 
 void
--- a/measure/sim.h
+++ b/measure/sim.h
@@ -1,34 +1,35 @@
-/* One data centre driven through a deployment's load by one policy, on a paused clock: the core's
- * planner decides, small fakes stand for the platform, the daemons and the minions. */
+/* Simulates one data centre under a deployment's load and one policy, on a manual clock. The
+ * planner is that of the core; the platform, the daemons and the minions are simple models. */
 #ifndef MT_MEASURE_SIM_H
 #define MT_MEASURE_SIM_H
 
 #include "fleet.h"
 #include "medlartrack/capacity.h"
 
-/* Sums over data centres. */
+/* Totals of all data centres. */
 struct sim_result
 {
-  double instance_s;        /* all instances' time */
-  double buffer_instance_s; /* of it, idle and held */
-  GArray *table_s;          /* double: each edit's time to the last daemon */
-  GArray *wave_s;           /* double: each data centre's wave, to its end */
-  GArray *wave_bound_s;     /* double: what the budget allows at best, by hindsight */
+  double instance_s;        /* time of all instances */
+  double buffer_instance_s; /* the part of it held idle as a buffer */
+  GArray *table_s;          /* of double: time until the last daemon has an edit of the tables */
+  GArray *wave_s;           /* of double: duration of the wave of each data centre */
+  GArray *wave_bound_s;     /* of double: shortest duration that the budget allowed */
   guint64 moves;
   guint64 asked;
   guint64 answered;
   guint64 refused;
   guint64 late;
-  guint64 unknown; /* at work on an instance that failed */
+  guint64 unknown; /* in flight on an instance that failed */
+  /* Violations of the promises. */
   guint64 broken_one_pool;
   guint64 broken_at_most_once;
   guint64 broken_budget;
-  guint64 broken_graceful; /* at work on an instance that was rebooted by plan */
+  guint64 broken_graceful; /* requests in flight on an instance that a plan rebooted */
 };
 
 void sim_result_init (struct sim_result *result);
 void sim_result_clear (struct sim_result *result);
-/* Adds what happens in data centre number zone to the result. */
+/* Simulates data centre number `zone` and adds its figures to the result. */
 void sim_run (const struct fleet_deployment *deployment,
               unsigned zone,
               uint32_t seed,
