--- a/bench/balance_main.c
+++ b/bench/balance_main.c
@@ -1,10 +1,11 @@
-/* Compares the balancing policies on the core itself, with a manual clock: six daemons, each with a
- * dispatch of its own, share ten minions of eight slots that they see only through heartbeats. No
- * network and no daemon is modelled; a minion here is a count of running requests that refuses the
- * ninth. The same seed gives the same arrivals and service times to every policy.
+/* Compares the balancing policies on the dispatch of the core, with a manual clock. Six daemons,
+ * each with its own dispatch, share ten minions of eight slots and learn of each other's load only
+ * by heartbeats. The network and the rest of the daemon are not modelled; a minion is a count of
+ * running requests and refuses the ninth. All policies get the same arrivals and service times from
+ * one seed.
  *
- * The bound: one queue that knows every slot at every moment, as a fluid. No policy can pass it but
- * by the luck of the draw. */
+ * The bound is a fluid model of one queue that always knows all free slots. A policy exceeds it
+ * only by chance, since the bound uses mean rates. */
 #include "histogram.h"
 #include "medlartrack/dispatch.h"
 
@@ -14,41 +15,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DAEMONS      6
-#define MINIONS      10
-#define SLOTS        8
-#define AUDIENCES    4
-#define MEAN_RATE    480.0 /* a second; the pool holds 1,600 */
-#define SERVICE_MS   50.0
-#define LEAST_MS     20.0
-#define DEADLINE_US  (500 * MT_MS)
-#define REFUSAL_US   (2 * MT_MS)
-#define ERROR_US     (1 * MT_MS)
-#define TICK_US      (5 * MT_MS)
-#define HEARTBEAT_US (500 * MT_MS)
-#define SUSPECT_US   (3 * MT_SECOND) /* a dead daemon is left out after this */
-#define NOTICE_US    (1 * MT_SECOND) /* the balancer leaves it out after this */
-#define QUEUE        400
-#define MAX_TRIES    3
-#define SLOW_FACTOR  4
+#define DAEMONS             6
+#define MINIONS             10
+#define SLOTS               8
+#define AUDIENCES           4
+#define MEAN_RATE           480.0 /* requests a second; the pool's capacity is 1,600 */
+#define MEAN_SERVICE_MS     50.0
+#define MIN_SERVICE_MS      20.0
+#define DEADLINE_US         (500 * MT_MS)
+#define REFUSAL_US          (2 * MT_MS) /* time until a minion's refusal arrives */
+#define ERROR_US            (1 * MT_MS) /* service time of the sick minion */
+#define TICK_US             (5 * MT_MS)
+#define HEARTBEAT_US        (500 * MT_MS)
+#define MEMBER_TIMEOUT_US   (3 * MT_SECOND) /* the other daemons remove a dead daemon after this */
+#define BALANCER_TIMEOUT_US (1 * MT_SECOND) /* the callers' load balancer removes it after this */
+#define MAX_QUEUE           400
+#define MAX_TRIES           3
+#define SLOW_FACTOR         4
 
 struct scenario
 {
   const char *name;
   const char *description;
-  double factors[3]; /* of the mean rate, */
-  double seconds[3]; /* for so long */
-  bool uneven;       /* half of all callers reach the first daemon */
-  int sick;          /* minion that answers errors at once, in the middle part */
-  int dying;         /* daemon that dies at the start of the middle part */
-  int slow;          /* minion that takes four times as long, in the middle part */
+  double factors[3]; /* load of each part, in multiples of the mean rate */
+  double seconds[3]; /* duration of each part */
+  bool uneven;       /* half of all callers use the first daemon */
+  int sick;          /* minion that answers errors at once in the middle part; -1: none */
+  int dying;         /* daemon that dies at the start of the middle part; -1: none */
+  int slow;          /* minion that is SLOW_FACTOR times slower in the middle part; -1: none */
 };
 
 static const struct scenario scenarios[] = {
   { "steady", "the mean", { 1, 1, 1 }, { 5, 10, 5 }, false, -1, -1, -1 },
   { "surge", "five times the mean for 5 s", { 1, 5, 1 }, { 10, 5, 10 }, false, -1, -1, -1 },
   { "trough",
-    "a twentieth for 20 s, then the surge",
+    "a twentieth of the mean for 20 s, then the surge",
     { 0.05, 5, 1 },
     { 20, 5, 10 },
     false,
@@ -63,7 +64,7 @@
 enum kind
 {
   ARRIVAL,
-  END, /* of an exchange */
+  EXCHANGE_END,
   TICK,
   HEARTBEAT,
   DEATH,
@@ -72,10 +73,10 @@
 struct request
 {
   struct mt_ticket ticket;
-  struct world *world;
+  struct sim *sim;
   int daemon;
   int minion;
-  int64_t born_us;
+  int64_t arrived_us;
   double service_ms;
   unsigned tries;
   char avoid[8];
@@ -85,7 +86,7 @@
 struct event
 {
   int64_t at_us;
-  uint64_t order; /* events of one moment keep their order */
+  uint64_t order; /* orders events of the same time */
   enum kind kind;
   struct request *request;
 };
@@ -97,17 +98,17 @@
   uint64_t late;
   uint64_t errors;
   uint64_t refused;
-  uint64_t lost; /* with the daemon that died */
+  uint64_t lost; /* in the daemon that died */
   uint64_t refusals_by_minions;
   struct mt_histogram latencies;
 };
 
-struct world
+struct sim
 {
   const struct scenario *scenario;
   struct mt_clock_manual *manual;
   struct mt_dispatch *daemons[DAEMONS];
-  unsigned reported[DAEMONS][MINIONS]; /* by the last heartbeat */
+  unsigned reported[DAEMONS][MINIONS]; /* requests in flight, as of the last heartbeat */
   bool dead[DAEMONS];
   int64_t died_us;
   unsigned running[MINIONS];
@@ -118,19 +119,19 @@
 };
 
 static int64_t
-now_us (const struct world *world)
+now_us (const struct sim *sim)
 {
-  return mt_clock_now (mt_clock_manual_clock (world->manual));
+  return mt_clock_now (mt_clock_manual_clock (sim->manual));
 }
 
-/* xorshift64, as a number in (0, 1] */
+/* Returns a random number in (0, 1], by xorshift64. */
 static double
-draw (struct world *world)
+draw (struct sim *sim)
 {
-  world->random ^= world->random << 13;
-  world->random ^= world->random >> 7;
-  world->random ^= world->random << 17;
-  return ((double) (world->random >> 11) + 1) / 9007199254740992.0;
+  sim->random ^= sim->random << 13;
+  sim->random ^= sim->random >> 7;
+  sim->random ^= sim->random << 17;
+  return ((double) (sim->random >> 11) + 1) / 9007199254740992.0;
 }
 
 static bool
@@ -140,51 +141,51 @@
 }
 
 static struct event *
-at (struct world *world, guint i)
+event_at (struct sim *sim, guint i)
 {
-  return &g_array_index (world->heap, struct event, i);
+  return &g_array_index (sim->heap, struct event, i);
 }
 
 static void
-swap (struct world *world, guint i, guint k)
+swap_events (struct sim *sim, guint i, guint k)
 {
-  struct event event = *at (world, i);
+  struct event event = *event_at (sim, i);
 
-  *at (world, i) = *at (world, k);
-  *at (world, k) = event;
+  *event_at (sim, i) = *event_at (sim, k);
+  *event_at (sim, k) = event;
 }
 
 static void
-push (struct world *world, int64_t at_us, enum kind kind, struct request *request)
+push_event (struct sim *sim, int64_t at_us, enum kind kind, struct request *request)
 {
-  struct event event = { at_us, world->order++, kind, request };
-  guint i = world->heap->len;
+  struct event event = { at_us, sim->order++, kind, request };
+  guint i = sim->heap->len;
 
-  g_array_append_val (world->heap, event);
-  for (; i > 0 && is_before (at (world, i), at (world, (i - 1) / 2)); i = (i - 1) / 2)
-    swap (world, i, (i - 1) / 2);
+  g_array_append_val (sim->heap, event);
+  for (; i > 0 && is_before (event_at (sim, i), event_at (sim, (i - 1) / 2)); i = (i - 1) / 2)
+    swap_events (sim, i, (i - 1) / 2);
 }
 
 static struct event
-pop (struct world *world)
+pop_event (struct sim *sim)
 {
-  struct event first = *at (world, 0);
-  guint last = world->heap->len - 1;
+  struct event first = *event_at (sim, 0);
+  guint last = sim->heap->len - 1;
   guint i = 0;
 
-  swap (world, 0, last);
-  g_array_set_size (world->heap, last);
+  swap_events (sim, 0, last);
+  g_array_set_size (sim->heap, last);
   for (;;)
     {
       guint child = 2 * i + 1;
 
       if (child >= last)
         return first;
-      if (child + 1 < last && is_before (at (world, child + 1), at (world, child)))
+      if (child + 1 < last && is_before (event_at (sim, child + 1), event_at (sim, child)))
         child++;
-      if (!is_before (at (world, child), at (world, i)))
+      if (!is_before (event_at (sim, child), event_at (sim, i)))
         return first;
-      swap (world, i, child);
+      swap_events (sim, i, child);
       i = child;
     }
 }
@@ -200,42 +201,42 @@
 }
 
 static int64_t
-end_of (const struct scenario *scenario)
+scenario_end_us (const struct scenario *scenario)
 {
   return (int64_t) ((scenario->seconds[0] + scenario->seconds[1] + scenario->seconds[2]) * 1e6);
 }
 
 static void
-start (struct request *request)
+start_request (struct request *request)
 {
-  struct world *world = request->world;
-  int64_t now = now_us (world);
+  struct sim *sim = request->sim;
+  int64_t now = now_us (sim);
   double service_ms = request->service_ms;
   int minion = (int) strtol (request->ticket.minion + 1, NULL, 10);
 
   request->minion = minion;
-  if (world->running[minion] >= SLOTS)
+  if (sim->running[minion] >= SLOTS)
     {
       request->result = MT_DISPATCH_REFUSED;
-      push (world, now + REFUSAL_US, END, request);
+      push_event (sim, now + REFUSAL_US, EXCHANGE_END, request);
       return;
     }
-  world->running[minion]++;
+  sim->running[minion]++;
   request->result = MT_DISPATCH_SUCCESS;
-  if (minion == world->scenario->sick && find_part (world->scenario, now) == 1)
+  if (minion == sim->scenario->sick && find_part (sim->scenario, now) == 1)
     {
       request->result = MT_DISPATCH_SERVER_ERROR;
       service_ms = (double) ERROR_US / MT_MS;
     }
-  if (minion == world->scenario->slow && find_part (world->scenario, now) == 1)
+  if (minion == sim->scenario->slow && find_part (sim->scenario, now) == 1)
     service_ms *= SLOW_FACTOR;
-  push (world, now + (int64_t) (service_ms * MT_MS), END, request);
+  push_event (sim, now + (int64_t) (service_ms * MT_MS), EXCHANGE_END, request);
 }
 
 static void
 on_granted (struct mt_ticket *ticket)
 {
-  start (ticket->owner);
+  start_request (ticket->owner);
 }
 
 static void
@@ -243,31 +244,31 @@
 {
   struct request *request = ticket->owner;
 
-  request->world->counts.refused++;
+  request->sim->counts.refused++;
   g_free (request);
 }
 
 static const struct mt_dispatch_callbacks callbacks = {
   .name = "bench",
-  .description = "starts what is granted, counts what is given up on",
+  .description = "starts granted requests, counts expired ones",
   .granted = on_granted,
   .expired = on_expired,
 };
 
 static void
-ask (struct request *request)
+submit_request (struct request *request)
 {
-  struct world *world = request->world;
+  struct sim *sim = request->sim;
 
   request->tries++;
   request->ticket.is_retry = request->tries > 1;
-  switch (mt_dispatch_submit (world->daemons[request->daemon], &request->ticket, QUEUE))
+  switch (mt_dispatch_submit (sim->daemons[request->daemon], &request->ticket, MAX_QUEUE))
     {
     case MT_ADMISSION_GRANTED:
-      start (request);
+      start_request (request);
       break;
     case MT_ADMISSION_REFUSED:
-      world->counts.refused++;
+      sim->counts.refused++;
       g_free (request);
       break;
     case MT_ADMISSION_QUEUED:
@@ -276,50 +277,48 @@
 }
 
 static int
-choose_daemon (struct world *world)
+choose_daemon (struct sim *sim)
 {
   int daemon;
 
   do
-    daemon = world->scenario->uneven && draw (world) < 0.5
-                 ? 0
-                 : (int) (draw (world) * DAEMONS) % DAEMONS;
-  while (world->dead[daemon] && now_us (world) - world->died_us > NOTICE_US);
+    daemon = sim->scenario->uneven && draw (sim) < 0.5 ? 0 : (int) (draw (sim) * DAEMONS) % DAEMONS;
+  while (sim->dead[daemon] && now_us (sim) - sim->died_us > BALANCER_TIMEOUT_US);
   return daemon;
 }
 
 static void
-arrive (struct world *world)
+handle_arrival (struct sim *sim)
 {
-  int64_t now = now_us (world);
-  double rate = MEAN_RATE * world->scenario->factors[find_part (world->scenario, now)];
+  int64_t now = now_us (sim);
+  double rate = MEAN_RATE * sim->scenario->factors[find_part (sim->scenario, now)];
   struct request *request = g_new0 (struct request, 1);
-  int64_t next = now + 1 + (int64_t) (-log (draw (world)) * 1e6 / rate);
-
-  if (next < end_of (world->scenario))
-    push (world, next, ARRIVAL, NULL);
-  world->counts.asked++;
-  request->world = world;
-  request->daemon = choose_daemon (world);
-  request->born_us = now;
-  request->service_ms = LEAST_MS - (SERVICE_MS - LEAST_MS) * log (draw (world));
+  int64_t next = now + 1 + (int64_t) (-log (draw (sim)) * 1e6 / rate);
+
+  if (next < scenario_end_us (sim->scenario))
+    push_event (sim, next, ARRIVAL, NULL);
+  sim->counts.asked++;
+  request->sim = sim;
+  request->daemon = choose_daemon (sim);
+  request->arrived_us = now;
+  request->service_ms = MIN_SERVICE_MS - (MEAN_SERVICE_MS - MIN_SERVICE_MS) * log (draw (sim));
   request->ticket.owner = request;
-  request->ticket.audience = (uint64_t) (draw (world) * AUDIENCES);
+  request->ticket.audience = (uint64_t) (draw (sim) * AUDIENCES);
   request->ticket.deadline_us = now + DEADLINE_US;
-  if (!world->dead[request->daemon])
+  if (!sim->dead[request->daemon])
     {
-      ask (request);
+      submit_request (request);
       return;
     }
-  world->counts.lost++;
+  sim->counts.lost++;
   g_free (request);
 }
 
 static void
-settle (struct request *request)
+count_result (struct request *request)
 {
-  struct counts *counts = &request->world->counts;
-  int64_t took = now_us (request->world) - request->born_us;
+  struct counts *counts = &request->sim->counts;
+  int64_t took = now_us (request->sim) - request->arrived_us;
 
   if (request->result == MT_DISPATCH_SERVER_ERROR)
     counts->errors++;
@@ -336,47 +335,47 @@
 static void
 end_exchange (struct request *request)
 {
-  struct world *world = request->world;
+  struct sim *sim = request->sim;
 
   if (request->result != MT_DISPATCH_REFUSED)
-    world->running[request->minion]--;
-  if (world->dead[request->daemon])
+    sim->running[request->minion]--;
+  if (sim->dead[request->daemon])
     {
-      world->counts.lost++;
+      sim->counts.lost++;
       g_free (request);
       return;
     }
   g_strlcpy (request->avoid, request->ticket.minion, sizeof request->avoid);
-  mt_dispatch_complete (world->daemons[request->daemon], &request->ticket, request->result);
+  mt_dispatch_complete (sim->daemons[request->daemon], &request->ticket, request->result);
   if (request->result != MT_DISPATCH_REFUSED)
     {
-      settle (request);
+      count_result (request);
       return;
     }
-  world->counts.refusals_by_minions++;
+  sim->counts.refusals_by_minions++;
   request->ticket.avoid = request->avoid;
   if (request->tries < MAX_TRIES)
     {
-      ask (request);
+      submit_request (request);
       return;
     }
-  world->counts.refused++;
+  sim->counts.refused++;
   g_free (request);
 }
 
 static void
-tick (struct world *world)
+handle_tick (struct sim *sim)
 {
   for (int i = 0; i < DAEMONS; i++)
-    if (!world->dead[i])
-      mt_dispatch_tick (world->daemons[i]);
-  if (now_us (world) < end_of (world->scenario) + 2 * DEADLINE_US)
-    push (world, now_us (world) + TICK_US, TICK, NULL);
+    if (!sim->dead[i])
+      mt_dispatch_tick (sim->daemons[i]);
+  if (now_us (sim) < scenario_end_us (sim->scenario) + 2 * DEADLINE_US)
+    push_event (sim, now_us (sim) + TICK_US, TICK, NULL);
 }
 
 struct view
 {
-  const struct world *world;
+  const struct sim *sim;
   int self;
 };
 
@@ -389,62 +388,62 @@
 
   for (int i = 0; i < DAEMONS; i++)
     if (i != view->self)
-      sum += view->world->reported[i][minion];
+      sum += view->sim->reported[i][minion];
   return sum;
 }
 
 static bool
-is_thought_alive (const struct world *world, int daemon)
+is_considered_alive (const struct sim *sim, int daemon)
 {
-  return !world->dead[daemon] || now_us (world) - world->died_us < SUSPECT_US;
+  return !sim->dead[daemon] || now_us (sim) - sim->died_us < MEMBER_TIMEOUT_US;
 }
 
 static void
-set_share (struct world *world, int daemon)
+set_share (struct sim *sim, int daemon)
 {
-  struct view view = { world, daemon };
+  struct view view = { sim, daemon };
   struct mt_share share = { 0, 0 };
 
   for (int i = 0; i < DAEMONS; i++)
     {
-      if (!is_thought_alive (world, i))
+      if (!is_considered_alive (sim, i))
         continue;
       share.rank += i < daemon ? 1 : 0;
       share.daemons++;
     }
-  mt_dispatch_set_share (world->daemons[daemon], share, sum_others, &view);
+  mt_dispatch_set_share (sim->daemons[daemon], share, sum_others, &view);
 }
 
 static void
-heartbeat (struct world *world)
+handle_heartbeat (struct sim *sim)
 {
   for (int i = 0; i < DAEMONS; i++)
     for (int m = 0; m < MINIONS; m++)
       {
         g_autofree char *name = g_strdup_printf ("m%d", m);
 
-        if (!world->dead[i])
-          world->reported[i][m] = mt_dispatch_in_flight (world->daemons[i], name);
-        else if (!is_thought_alive (world, i))
-          world->reported[i][m] = 0;
+        if (!sim->dead[i])
+          sim->reported[i][m] = mt_dispatch_in_flight (sim->daemons[i], name);
+        else if (!is_considered_alive (sim, i))
+          sim->reported[i][m] = 0;
       }
   for (int i = 0; i < DAEMONS; i++)
-    if (!world->dead[i])
-      set_share (world, i);
-  if (now_us (world) < end_of (world->scenario))
-    push (world, now_us (world) + HEARTBEAT_US, HEARTBEAT, NULL);
+    if (!sim->dead[i])
+      set_share (sim, i);
+  if (now_us (sim) < scenario_end_us (sim->scenario))
+    push_event (sim, now_us (sim) + HEARTBEAT_US, HEARTBEAT, NULL);
 }
 
 static void
-die (struct world *world)
+kill_daemon (struct sim *sim)
 {
-  world->dead[world->scenario->dying] = true;
-  world->died_us = now_us (world);
-  world->counts.lost += mt_dispatch_queue_length (world->daemons[world->scenario->dying]);
+  sim->dead[sim->scenario->dying] = true;
+  sim->died_us = now_us (sim);
+  sim->counts.lost += mt_dispatch_queue_length (sim->daemons[sim->scenario->dying]);
 }
 
 static void
-put_minions (struct mt_dispatch *dispatch, unsigned n)
+set_minions (struct mt_dispatch *dispatch, unsigned n)
 {
   g_autofree struct mt_instance *instances = g_new0 (struct mt_instance, n);
   g_autofree const struct mt_instance **list = g_new0 (const struct mt_instance *, n);
@@ -464,116 +463,116 @@
   mt_dispatch_update (dispatch, list, n);
 }
 
-static struct world *
-make_world (const struct scenario *scenario, const struct mt_balance *policy, uint64_t seed)
+static struct sim *
+create_sim (const struct scenario *scenario, const struct mt_balance *policy, uint64_t seed)
 {
-  struct world *world = g_new0 (struct world, 1);
+  struct sim *sim = g_new0 (struct sim, 1);
 
-  world->scenario = scenario;
-  world->manual = mt_clock_manual_create (0);
-  world->heap = g_array_new (FALSE, FALSE, sizeof (struct event));
-  world->random = seed * 2654435761U + 1;
+  sim->scenario = scenario;
+  sim->manual = mt_clock_manual_create (0);
+  sim->heap = g_array_new (FALSE, FALSE, sizeof (struct event));
+  sim->random = seed * 2654435761U + 1;
   for (int i = 0; i < DAEMONS; i++)
     {
-      world->daemons[i] = mt_dispatch_create (mt_clock_manual_clock (world->manual), &callbacks,
-                                              policy, seed * 100 + (uint64_t) i * 2 + 1);
-      put_minions (world->daemons[i], MINIONS);
+      sim->daemons[i] = mt_dispatch_create (mt_clock_manual_clock (sim->manual), &callbacks, policy,
+                                            seed * 100 + (uint64_t) i * 2 + 1);
+      set_minions (sim->daemons[i], MINIONS);
     }
-  push (world, 0, HEARTBEAT, NULL);
-  push (world, 0, TICK, NULL);
-  push (world, 0, ARRIVAL, NULL);
+  push_event (sim, 0, HEARTBEAT, NULL);
+  push_event (sim, 0, TICK, NULL);
+  push_event (sim, 0, ARRIVAL, NULL);
   if (scenario->dying >= 0)
-    push (world, (int64_t) (scenario->seconds[0] * 1e6), DEATH, NULL);
-  return world;
+    push_event (sim, (int64_t) (scenario->seconds[0] * 1e6), DEATH, NULL);
+  return sim;
 }
 
 static void
-free_world (struct world *world)
+destroy_sim (struct sim *sim)
 {
   for (int i = 0; i < DAEMONS; i++)
-    mt_dispatch_destroy (world->daemons[i]);
-  g_array_free (world->heap, TRUE);
-  mt_clock_manual_destroy (world->manual);
-  g_free (world);
+    mt_dispatch_destroy (sim->daemons[i]);
+  g_array_free (sim->heap, TRUE);
+  mt_clock_manual_destroy (sim->manual);
+  g_free (sim);
 }
 
 static void
-run_world (struct world *world)
+run_sim (struct sim *sim)
 {
-  while (world->heap->len > 0)
+  while (sim->heap->len > 0)
     {
-      struct event event = pop (world);
+      struct event event = pop_event (sim);
 
-      mt_clock_manual_advance (world->manual, event.at_us - now_us (world));
+      mt_clock_manual_advance (sim->manual, event.at_us - now_us (sim));
       switch (event.kind)
         {
         case ARRIVAL:
-          arrive (world);
+          handle_arrival (sim);
           break;
-        case END:
+        case EXCHANGE_END:
           end_exchange (event.request);
           break;
         case TICK:
-          tick (world);
+          handle_tick (sim);
           break;
         case HEARTBEAT:
-          heartbeat (world);
+          handle_heartbeat (sim);
           break;
         case DEATH:
-          die (world);
+          kill_daemon (sim);
           break;
         }
     }
 }
 
-/* Arrivals by their mean, served by all healthy slots; what can't be served by its deadline leaves.
- */
+/* Arrivals at their mean rate are served by all healthy slots. Requests that can't be served by
+ * their deadline leave the queue. */
 static double
-work_out_bound (const struct scenario *scenario, uint64_t asked)
+compute_bound (const struct scenario *scenario, uint64_t asked)
 {
   const double step_s = 0.001;
   double waiting = 0;
   double served = 0;
   double arrived = 0;
 
-  for (int64_t t = 0; t < end_of (scenario); t += MT_MS)
+  for (int64_t t = 0; t < scenario_end_us (scenario); t += MT_MS)
     {
       int part = find_part (scenario, t);
       double minions = MINIONS;
-      double come = MEAN_RATE * scenario->factors[part] * step_s;
+      double arriving = MEAN_RATE * scenario->factors[part] * step_s;
       double capacity;
-      double most;
-      double go;
+      double max_waiting;
+      double serving;
 
       if (part == 1 && scenario->sick >= 0)
         minions -= 1;
       if (part == 1 && scenario->slow >= 0)
         minions -= 1 - 1.0 / SLOW_FACTOR;
-      capacity = minions * SLOTS / (SERVICE_MS / 1000) * step_s;
-      most = capacity / step_s * ((double) DEADLINE_US / 1e6 - SERVICE_MS / 1000);
-      arrived += come;
-      waiting = fmin (waiting + come, most);
-      go = fmin (waiting, capacity);
-      waiting -= go;
-      served += go;
+      capacity = minions * SLOTS / (MEAN_SERVICE_MS / 1000) * step_s;
+      max_waiting = capacity / step_s * ((double) DEADLINE_US / 1e6 - MEAN_SERVICE_MS / 1000);
+      arrived += arriving;
+      waiting = fmin (waiting + arriving, max_waiting);
+      serving = fmin (waiting, capacity);
+      waiting -= serving;
+      served += serving;
     }
   return fmin ((served + waiting) / arrived, 1) * (double) asked;
 }
 
 static void
-compare (const struct scenario *scenario, uint64_t seed)
+compare_policies (const struct scenario *scenario, uint64_t seed)
 {
   printf ("\n%s: %s\n%-16s %8s %8s %7s %7s %7s %7s %7s %8s %8s\n", scenario->name,
           scenario->description, "policy", "asked", "useful", "of bnd", "refused", "late", "errors",
           "lost", "p50_ms", "p99_ms");
   for (int i = 0; mt_balance_policies[i] != NULL; i++)
     {
-      struct world *world = make_world (scenario, mt_balance_policies[i], seed);
-      const struct counts *counts = &world->counts;
+      struct sim *sim = create_sim (scenario, mt_balance_policies[i], seed);
+      const struct counts *counts = &sim->counts;
       double bound;
 
-      run_world (world);
-      bound = work_out_bound (scenario, counts->asked);
+      run_sim (sim);
+      bound = compute_bound (scenario, counts->asked);
       printf ("%-16s %8lu %8lu %6.1f%% %7lu %7lu %7lu %7lu %8.1f %8.1f  by minions %lu\n",
               mt_balance_policies[i]->name, counts->asked, counts->useful,
               100.0 * (double) counts->useful / bound, counts->refused, counts->late,
@@ -581,11 +580,11 @@
               (double) mt_histogram_quantile (&counts->latencies, 0.5) / 1e3,
               (double) mt_histogram_quantile (&counts->latencies, 0.99) / 1e3,
               counts->refusals_by_minions);
-      free_world (world);
+      destroy_sim (sim);
     }
 }
 
-/* What one ask and one done cost, with half of the slots taken. */
+/* Measures the time of one submit and complete, with half of the slots in use. */
 static void
 measure_cost (const struct mt_balance *policy, unsigned n)
 {
@@ -595,7 +594,7 @@
   struct mt_ticket ticket = { .deadline_us = INT64_MAX };
   int64_t start_us;
 
-  put_minions (dispatch, n);
+  set_minions (dispatch, n);
   for (unsigned i = 0; i < n * SLOTS / 2; i++)
     {
       held[i].deadline_us = INT64_MAX;
@@ -653,7 +652,7 @@
 
   argp_parse (&argp, argc, argv, 0, NULL, &arguments);
   for (size_t i = 0; i < G_N_ELEMENTS (scenarios); i++)
-    compare (&scenarios[i], arguments.seed);
+    compare_policies (&scenarios[i], arguments.seed);
   printf ("\n");
   for (int i = 0; arguments.cost && mt_balance_policies[i] != NULL; i++)
     for (size_t k = 0; k < G_N_ELEMENTS (sizes); k++)
--- a/bench/bench_gossip.c
+++ b/bench/bench_gossip.c
@@ -1,6 +1,6 @@
-/* Bytes that one daemon sends and receives a second for membership, at the level of messages (frame
- * and TCP headers not counted), against the number of daemons, and how many seconds news takes to
- * reach all. Paused clock, fixed order. Usage: bench_gossip */
+/* For several numbers of daemons, prints the bytes that one daemon sends and receives a second for
+ * membership (messages only, without frame and TCP headers), and how many seconds an update takes
+ * to reach all daemons. Manual clock, fixed order. Usage: bench_gossip */
 #include "medlartrack/membership.h"
 
 #include <stdio.h>
@@ -22,15 +22,15 @@
 static void
 exchange (struct fleet *fleet, unsigned from, unsigned to)
 {
-  size_t ask_len;
+  size_t request_len;
   size_t len;
-  char *ask = mt_membership_make_request (fleet->nodes[from], &ask_len);
-  char *answer = mt_membership_handle_request (fleet->nodes[to], (struct mt_str){ ask, ask_len },
-                                               &len, NULL);
+  char *request = mt_membership_make_request (fleet->nodes[from], &request_len);
+  char *answer = mt_membership_handle_request (fleet->nodes[to],
+                                               (struct mt_str){ request, request_len }, &len, NULL);
 
   mt_membership_handle_response (fleet->nodes[from], (struct mt_str){ answer, len }, NULL, NULL);
-  fleet->bytes += ask_len + len;
-  free (ask);
+  fleet->bytes += request_len + len;
+  free (request);
   free (answer);
 }
 
@@ -55,7 +55,7 @@
 }
 
 static void
-round_of (struct fleet *fleet, unsigned minions, unsigned round)
+run_round (struct fleet *fleet, unsigned minions, unsigned round)
 {
   mt_clock_manual_advance (fleet->clock, MT_SECOND);
   for (unsigned i = 0; i < fleet->n; i++)
@@ -77,7 +77,7 @@
 }
 
 static struct fleet
-start (unsigned n, unsigned zones, unsigned fan_out)
+create_fleet (unsigned n, unsigned zones, unsigned fan_out)
 {
   struct fleet fleet = { mt_clock_manual_create (MT_SECOND), { NULL }, n, fan_out, 0 };
 
@@ -100,22 +100,22 @@
 }
 
 static unsigned
-spread_rounds (struct fleet *fleet, unsigned minions)
+count_spread_rounds (struct fleet *fleet, unsigned minions)
 {
   unsigned rounds = 0;
-  unsigned know = 0;
+  unsigned informed = 0;
 
   mt_membership_set_versions (fleet->nodes[0], 99, 0);
-  while (know < fleet->n)
+  while (informed < fleet->n)
     {
       rounds++;
-      round_of (fleet, minions, rounds);
-      know = 0;
+      run_round (fleet, minions, rounds);
+      informed = 0;
       for (unsigned i = 0; i < fleet->n; i++)
         {
           const struct mt_member *member = mt_membership_find (fleet->nodes[i], "entry-00");
 
-          know += member != NULL && member->tables_version == 99;
+          informed += member != NULL && member->tables_version == 99;
         }
     }
   return rounds;
@@ -124,16 +124,16 @@
 static void
 measure (unsigned n, unsigned zones, unsigned minions, unsigned fan_out)
 {
-  struct fleet fleet = start (n, zones, fan_out);
+  struct fleet fleet = create_fleet (n, zones, fan_out);
 
   for (unsigned i = 0; i < 20; i++)
-    round_of (&fleet, minions, i);
+    run_round (&fleet, minions, i);
   fleet.bytes = 0;
   for (unsigned i = 0; i < ROUNDS; i++)
-    round_of (&fleet, minions, i);
-  /* Each byte is sent by one daemon and received by another: counted for both. */
+    run_round (&fleet, minions, i);
+  /* Each byte is counted twice, for the daemon that sends it and the one that receives it. */
   printf ("%7u %5u %7u %7u %15.2f %6u\n", n, zones, minions, fan_out,
-          2.0 * (double) fleet.bytes / n / ROUNDS / 1000, spread_rounds (&fleet, minions));
+          2.0 * (double) fleet.bytes / n / ROUNDS / 1000, count_spread_rounds (&fleet, minions));
   for (unsigned i = 0; i < n; i++)
     mt_membership_destroy (fleet.nodes[i]);
   mt_clock_manual_destroy (fleet.clock);
@@ -145,7 +145,7 @@
   static const unsigned sizes[] = { 2, 7, 8, 32, 42, 64 };
   static const unsigned fan_outs[] = { 1, 2, 3, 63 };
 
-  printf ("daemons zones minions fan-out KB/s in and out  news (s)\n");
+  printf ("daemons zones minions fan-out KB/s in and out  spread (s)\n");
   for (unsigned f = 0; f < G_N_ELEMENTS (fan_outs); f++)
     for (unsigned i = 0; i < G_N_ELEMENTS (sizes); i++)
       {
--- a/bench/bench_member.c
+++ b/bench/bench_member.c
@@ -1,7 +1,7 @@
-/* One daemon's part in the membership, without callers or platform: real sockets and threads, loads
- * made up and changing each second. Prints "port=N", then one line of figures for the measured
- * time, and ends on SIGTERM. Usage: bench_member NAME ZONE MINIONS POOLS WARM_S MEASURE_S [PEER]...
- */
+/* Runs one daemon's membership without callers or a platform: real sockets and threads, and
+ * generated loads that change each second. Prints "port=N", then one line of figures for the
+ * measured time. Exits on SIGTERM. Usage: bench_member NAME ZONE MINIONS POOLS WARM_S MEASURE_S
+ * [PEER]... */
 #include "peers.h"
 
 #include <signal.h>
@@ -13,7 +13,7 @@
 {
   unsigned minions;
   unsigned pools;
-  unsigned beats;
+  unsigned reports;
 };
 
 static void
@@ -23,15 +23,15 @@
   struct mt_member_load *loads = g_new0 (struct mt_member_load, shape->minions);
   struct mt_member_demand *demands = g_new0 (struct mt_member_demand, shape->pools);
 
-  shape->beats++;
+  shape->reports++;
   for (unsigned i = 0; i < shape->minions; i++)
     loads[i] = (struct mt_member_load){ g_strdup_printf ("minion-west-%03u", i),
                                         1 + (unsigned) g_random_int_range (0, 3) };
   for (unsigned i = 0; i < shape->pools; i++)
-    demands[i]
-        = (struct mt_member_demand){ g_strdup_printf ("pool-%02u", i),
-                                     (unsigned) g_random_int_range (0, 10),
-                                     (unsigned) g_random_int_range (0, 100), 90000 + shape->beats };
+    demands[i] = (struct mt_member_demand){ g_strdup_printf ("pool-%02u", i),
+                                            (unsigned) g_random_int_range (0, 10),
+                                            (unsigned) g_random_int_range (0, 100),
+                                            90000 + shape->reports };
   mt_peers_set_loads (peers, loads, shape->minions, demands, shape->pools);
   for (unsigned i = 0; i < shape->minions; i++)
     g_free (loads[i].minion);
@@ -42,12 +42,12 @@
 }
 
 static void
-nothing (void *ctx, struct mt_peers *peers)
+ignore_change (void *ctx, struct mt_peers *peers)
 {
 }
 
 static const struct mt_peers_callbacks callbacks
-    = { "made-up", "reports made-up loads", report, nothing };
+    = { "made-up", "reports generated loads", report, ignore_change };
 
 static double
 cpu_s (void)
@@ -60,7 +60,7 @@
 }
 
 static void
-count_visit (void *ctx, const struct mt_member *member)
+count_member (void *ctx, const struct mt_member *member)
 {
   ++*(unsigned *) ctx;
 }
@@ -80,7 +80,7 @@
   g_usleep (measure_s * G_USEC_PER_SEC);
   after = mt_peers_traffic (peers);
   cpu = cpu_s () - cpu;
-  mt_peers_each (peers, NULL, count_visit, &members);
+  mt_peers_each (peers, NULL, count_member, &members);
   getrusage (RUSAGE_SELF, &usage);
   printf ("figures %s members=%u in_Bps=%.0f out_Bps=%.0f frames_ps=%.2f cpu_percent=%.3f "
           "rss_mb=%.1f\n",
@@ -98,14 +98,14 @@
   struct mt_peers_options options = { .clock = mt_clock_system (), .callbacks = &callbacks };
   struct shape shape = { 0 };
   struct mt_peers *peers;
-  sigset_t set;
-  int number;
+  sigset_t signals;
+  int signal_number;
 
   if (argc < 7)
     return 2;
-  sigemptyset (&set);
-  sigaddset (&set, SIGTERM);
-  pthread_sigmask (SIG_BLOCK, &set, NULL);
+  sigemptyset (&signals);
+  sigaddset (&signals, SIGTERM);
+  pthread_sigmask (SIG_BLOCK, &signals, NULL);
   settings.name = mt_str_from (argv[1]);
   settings.zone = mt_str_from (argv[2]);
   shape.minions = (unsigned) atoi (argv[3]);
@@ -124,7 +124,7 @@
   printf ("port=%u\n", mt_peer_server_port (options.server));
   fflush (stdout);
   measure (peers, argv[1], (unsigned) atoi (argv[5]), (unsigned) atoi (argv[6]));
-  sigwait (&set, &number);
+  sigwait (&signals, &signal_number);
   mt_peer_server_destroy (options.server);
   mt_peers_destroy (peers);
   g_free (settings.peers);
--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -1,5 +1,5 @@
-/* Calls between two processes' worth of peer code on loopback: calls a second, time and processor
- * time of one call (both ends in this process). Usage: bench_peer [CALLS [BYTES]]. */
+/* Measures calls from a peer client to a peer server on loopback: calls a second, and time and
+ * processor time of a call. Both ends run in this process. Usage: bench_peer [CALLS [BYTES]] */
 #include "peer.h"
 
 #include <stdio.h>
--- a/bench/bench_planner.c
+++ b/bench/bench_planner.c
@@ -1,7 +1,6 @@
-/* What one planner step costs by the number of instances of its data centre: processor time of the
- * step, of reading and of writing the document, its bytes, and the resident memory.
- *   bench_planner INSTANCES [POOLS]
- */
+/* Measures one planner step for a number of instances in the data centre: processor time of the
+ * step and of parsing and formatting the assignment document, the document's size, and resident
+ * memory. Usage: bench_planner [INSTANCES [POOLS]] */
 #include "medlartrack/clock.h"
 #include "medlartrack/planner.h"
 
@@ -64,21 +63,21 @@
 
 static double
 time_steps (struct mt_planner_input *input,
-            struct mt_assign **held,
+            struct mt_assign **current,
             struct mt_assign_member *members)
 {
   double from = cpu_us ();
 
   for (int i = 0; i < ROUNDS; i++)
     {
-      struct mt_assign *next = mt_assign_next (*held, "bench");
+      struct mt_assign *next = mt_assign_next (*current, "bench");
       struct mt_planner_result *result = mt_planner_result_create ();
 
       input->now_s++;
       mt_planner_step (input, next, result);
       mt_planner_result_destroy (result);
-      mt_assign_destroy (*held);
-      *held = next;
+      mt_assign_destroy (*current);
+      *current = next;
       for (int d = 0; d < DAEMONS; d++)
         members[d].version = next->version;
     }
@@ -91,7 +90,7 @@
   unsigned instances = argc > 1 ? (unsigned) strtoul (argv[1], NULL, 10) : 50;
   unsigned pools = argc > 2 ? (unsigned) strtoul (argv[2], NULL, 10) : 5;
   struct mt_tables *tables = make_tables (instances, pools);
-  struct mt_assign *held = mt_assign_create ();
+  struct mt_assign *current = mt_assign_create ();
   struct mt_assign_member members[DAEMONS] = { 0 };
   struct mt_planner_input input = { .tables = tables, .zone = "z", .now_s = 1 };
   g_autofree char *text = NULL;
@@ -104,9 +103,9 @@
   input.members = members;
   input.n_members = DAEMONS;
   input.capacity = mt_capacity_create (&mt_capacity_policies[0]);
-  step_us = time_steps (&input, &held, members);
+  step_us = time_steps (&input, &current, members);
   write_us = cpu_us ();
-  text = mt_assign_format (held);
+  text = mt_assign_format (current);
   write_us = cpu_us () - write_us;
   read_us = cpu_us ();
   mt_assign_destroy (mt_assign_parse (mt_str_from (text), NULL));
@@ -116,7 +115,7 @@
           instances, pools, step_us, write_us, read_us, strlen (text),
           (double) strlen (text) / instances, resident_kb ());
   mt_capacity_destroy (input.capacity);
-  mt_assign_destroy (held);
+  mt_assign_destroy (current);
   mt_tables_destroy (tables);
   return EXIT_SUCCESS;
 }
--- a/bench/claims_memory.c
+++ b/bench/claims_memory.c
@@ -1,6 +1,5 @@
-/* Bytes written for each claim, and memory and processor time for each claim held: one shard, one
- * writer, a store in memory. Prints one line.
- *   claims_memory [CLAIMS [CLAIMS_IN_A_BATCH]] */
+/* Measures the bytes written, the memory and the processor time for each claim: one shard, one
+ * writer, an in-memory store. Prints one line. Usage: claims_memory [CLAIMS [CLAIMS_IN_A_BATCH]] */
 #include "fake_store.h"
 #include "medlartrack/once.h"
 
@@ -11,7 +10,7 @@
 
 #define DEFAULT_CLAIMS 100000
 #define DEFAULT_BATCH  10
-#define KEEP_US        (3600 * MT_SECOND)
+#define RETENTION_US   (3600 * MT_SECOND)
 
 struct meter
 {
@@ -23,7 +22,7 @@
 };
 
 static void
-run (struct meter *meter)
+run_calls (struct meter *meter)
 {
   struct mt_once_call call;
   int64_t wake_us;
@@ -34,7 +33,7 @@
         {
           meter->bytes += call.len;
           meter->writes++;
-          /* The store itself is not measured: it keeps no bytes. */
+          /* Not passed to the store, so that its memory is not measured. */
           call.put = MT_STORE_DONE;
         }
       else
@@ -46,19 +45,19 @@
 static void
 claim_batch (struct meter *meter, uint64_t first, unsigned n)
 {
-  g_autofree struct mt_once_request *asks = g_new0 (struct mt_once_request, n);
+  g_autofree struct mt_once_request *requests = g_new0 (struct mt_once_request, n);
 
   for (unsigned i = 0; i < n; i++)
     {
-      asks[i].key[0] = (first + i) * 0x9e3779b97f4a7c15;
-      asks[i].key[1] = first + i;
-      asks[i].attempt[0] = first + i;
-      asks[i].holder_timeout_ms = 5000;
-      mt_once_request (meter->once, &asks[i]);
+      requests[i].key[0] = (first + i) * 0x9e3779b97f4a7c15;
+      requests[i].key[1] = first + i;
+      requests[i].attempt[0] = first + i;
+      requests[i].holder_timeout_ms = 5000;
+      mt_once_request (meter->once, &requests[i]);
     }
-  run (meter);
+  run_calls (meter);
   for (unsigned i = 0; i < n; i++)
-    mt_once_end (meter->once, asks[i].key, asks[i].attempt, MT_ONCE_END_DONE, 200);
+    mt_once_end (meter->once, requests[i].key, requests[i].attempt, MT_ONCE_END_DONE, 200);
   mt_clock_manual_advance (meter->manual, 10 * MT_MS);
 }
 
@@ -67,23 +66,23 @@
 {
   unsigned claims = argc > 1 ? (unsigned) strtoul (argv[1], NULL, 10) : DEFAULT_CLAIMS;
   unsigned batch = argc > 2 ? (unsigned) strtoul (argv[2], NULL, 10) : DEFAULT_BATCH;
-  struct mt_token_bucket pace = { .interval_us = 1, .burst = 1000 };
+  struct mt_token_bucket write_limit = { .interval_us = 1, .burst = 1000 };
   struct meter meter = { .manual = mt_clock_manual_create (1000 * MT_SECOND) };
   const struct mt_clock *paused = mt_clock_manual_clock (meter.manual);
   struct fake_store *fake = fake_store_create (paused);
   struct mt_once_options options
-      = { .clock = paused, .writer = 1, .retention_us = KEEP_US, .write_limit = &pace };
+      = { .clock = paused, .writer = 1, .retention_us = RETENTION_US, .write_limit = &write_limit };
   size_t before;
-  clock_t begun;
+  clock_t start_clock;
   double seconds;
 
   meter.store = fake_store_store (fake);
   meter.once = mt_once_create (&options);
   before = mallinfo2 ().uordblks;
-  begun = clock ();
+  start_clock = clock ();
   for (uint64_t i = 0; i < claims; i += batch)
     claim_batch (&meter, i, batch);
-  seconds = (double) (clock () - begun) / CLOCKS_PER_SEC;
+  seconds = (double) (clock () - start_clock) / CLOCKS_PER_SEC;
   printf ("claims %u, held %u, in a batch %u: %.1f bytes written and %.1f bytes of memory a claim, "
           "%.2f us of processor a claim, %u writes\n",
           claims, mt_once_claim_count (meter.once), batch, (double) meter.bytes / claims,
--- a/bench/histogram.c
+++ b/bench/histogram.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-#define SUB_BITS 6
+#define SUB_BUCKET_BITS 6
 
 static unsigned
 find_bucket (int64_t value)
@@ -13,13 +13,13 @@
 
   if (v < MT_HISTOGRAM_SUB_BUCKETS)
     return (unsigned) v;
-  shift = 63U - (unsigned) __builtin_clzll (v) - SUB_BITS;
+  shift = 63U - (unsigned) __builtin_clzll (v) - SUB_BUCKET_BITS;
   i = (shift + 1) * MT_HISTOGRAM_SUB_BUCKETS + (unsigned) ((v >> shift) - MT_HISTOGRAM_SUB_BUCKETS);
   return i < MT_HISTOGRAM_BUCKETS ? i : MT_HISTOGRAM_BUCKETS - 1;
 }
 
 static int64_t
-upper_bound (unsigned bucket)
+bucket_upper_bound (unsigned bucket)
 {
   unsigned shift;
 
@@ -59,7 +59,7 @@
     {
       seen += histogram->counts[i];
       if (seen >= wanted && seen > 0)
-        return upper_bound (i) < histogram->max ? upper_bound (i) : histogram->max;
+        return bucket_upper_bound (i) < histogram->max ? bucket_upper_bound (i) : histogram->max;
     }
   return 0;
 }
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -1,8 +1,9 @@
-/* Sends requests and reports what came of them.
+/* Sends requests and reports their outcomes and latencies.
  *
- * Closed loop: each connection sends its next request when it has its answer. Open loop (--rate):
- * requests are due at fixed times whatever becomes of the earlier ones, and a latency counts from
- * the time at which the request was due, so that a stall is not hidden by the wait for it. */
+ * Closed loop: each connection sends its next request once it has the answer to the last one. Open
+ * loop (--rate): requests are scheduled at fixed times, whatever happens to earlier ones, and
+ * latency is measured from the scheduled time, so that a stall counts for the requests that it
+ * delays. */
 #include "histogram.h"
 #include "http_client.h"
 
@@ -14,18 +15,18 @@
 #include <string.h>
 #include <unistd.h>
 
-#define MAX_LIST      64
-#define ANSWER_BYTES  (1000 * 1000)
-#define REQUEST_BYTES (4 * 1000 * 1000)
+#define MAX_OPTION_VALUES 64
+#define MAX_ANSWER_BYTES  (1000 * 1000)
+#define ARENA_BYTES       (4 * 1000 * 1000)
 
 enum outcome
 {
-  WHOLE,     /* 2xx */
-  NOT_RUN,   /* the daemon's own */
-  UNKNOWN,   /* the daemon's own */
-  DUPLICATE, /* the daemon's own */
+  WHOLE,     /* a complete answer with status 2xx */
+  NOT_RUN,   /* by the daemon's outcome header */
+  UNKNOWN,   /* by the daemon's outcome header */
+  DUPLICATE, /* by the daemon's outcome header */
   OTHER,     /* any other status */
-  LOST,      /* no answer */
+  LOST,      /* no complete answer */
   N_OUTCOMES,
 };
 
@@ -34,9 +35,9 @@
 
 struct options
 {
-  const char *targets[MAX_LIST];
+  const char *targets[MAX_OPTION_VALUES];
   unsigned n_targets;
-  int pids[MAX_LIST];
+  int pids[MAX_OPTION_VALUES];
   unsigned n_pids;
   const char *path;
   const char *method;
@@ -52,7 +53,7 @@
   struct run *run;
   GThread *thread;
   unsigned number;
-  struct mt_histogram latencies; /* of whole answers */
+  struct mt_histogram latencies; /* of outcome WHOLE, in us */
   uint64_t counts[N_OUTCOMES];
 };
 
@@ -66,15 +67,15 @@
 };
 
 static const struct argp_option argp_options[] = {
-  { "target", 't', "IP:PORT", 0, "Where to; may be given several times", 0 },
+  { "target", 't', "IP:PORT", 0, "Address to send to; may be given several times", 0 },
   { "pid", 'p', "PID", 0, "Report this process's CPU and memory; may be given several times", 0 },
   { "path", 'u', "PATH", 0, "Path (/quotes)", 0 },
   { "method", 'm', "METHOD", 0, "Method (GET)", 0 },
   { "connections", 'c', "N", 0, "Connections (8)", 0 },
   { "audiences", 'a', "N", 0, "Values of the Audience header, in turn (1)", 0 },
-  { "seconds", 's', "S", 0, "How long (5)", 0 },
-  { "rate", 'r', "N", 0, "Open loop with so many requests a second", 0 },
-  { "deadline", 'd', "MS", 0, "Give up on an answer after this (30000)", 0 },
+  { "seconds", 's', "S", 0, "Duration in seconds (5)", 0 },
+  { "rate", 'r', "N", 0, "Open loop with this number of requests a second", 0 },
+  { "deadline", 'd', "MS", 0, "Time limit for an answer in ms (30000)", 0 },
   { 0 },
 };
 
@@ -86,11 +87,11 @@
   switch (key)
     {
     case 't':
-      if (options->n_targets < MAX_LIST)
+      if (options->n_targets < MAX_OPTION_VALUES)
         options->targets[options->n_targets++] = arg;
       return 0;
     case 'p':
-      if (options->n_pids < MAX_LIST)
+      if (options->n_pids < MAX_OPTION_VALUES)
         options->pids[options->n_pids++] = (int) strtol (arg, NULL, 10);
       return 0;
     case 'u':
@@ -124,7 +125,7 @@
 }
 
 static enum outcome
-sort_answer (const struct mt_http_answer *answer)
+classify_answer (const struct mt_http_answer *answer)
 {
   struct mt_str outcome
       = mt_http_header_find (answer->headers, answer->n_headers, MT_STR ("Medlartrack-Outcome"));
@@ -136,7 +137,7 @@
 }
 
 static void
-send_one (struct worker *worker, struct mt_http_client *client, int64_t due_us)
+send_one (struct worker *worker, struct mt_http_client *client, int64_t scheduled_us)
 {
   const struct options *options = &worker->run->options;
   g_autofree char *audience = g_strdup_printf ("a%u", worker->number % options->audiences);
@@ -145,54 +146,55 @@
                                .path = options->path,
                                .headers = &header,
                                .n_headers = 1,
-                               .deadline_us = due_us + options->deadline_ms * MT_MS,
-                               .max_answer = ANSWER_BYTES };
-  struct mt_arena *arena = mt_arena_create (REQUEST_BYTES);
+                               .deadline_us = scheduled_us + options->deadline_ms * MT_MS,
+                               .max_answer = MAX_ANSWER_BYTES };
+  struct mt_arena *arena = mt_arena_create (ARENA_BYTES);
   struct mt_http_answer answer;
   enum outcome outcome = LOST;
 
   if (mt_http_client_call (client, options->targets[worker->number % options->n_targets], &call,
                            arena, &answer, NULL)
       == MT_HTTP_WHOLE)
-    outcome = sort_answer (&answer);
+    outcome = classify_answer (&answer);
   worker->counts[outcome]++;
   if (outcome == WHOLE)
-    mt_histogram_add (&worker->latencies, mt_clock_now (worker->run->clock) - due_us);
+    mt_histogram_add (&worker->latencies, mt_clock_now (worker->run->clock) - scheduled_us);
   mt_arena_destroy (arena);
 }
 
-/* False at the end of the run. */
+/* Waits for the time of the next request. Returns false at the end of the run. */
 static bool
-wait_for_turn (struct run *run, int64_t *due_us)
+wait_for_next (struct run *run, int64_t *scheduled_us)
 {
   int64_t now = mt_clock_now (run->clock);
 
-  *due_us = now;
+  *scheduled_us = now;
   if (run->options.rate > 0)
     {
       guint64 i = __atomic_fetch_add (&run->next, 1, __ATOMIC_RELAXED);
 
-      *due_us = run->start_us + (int64_t) ((double) i * 1e6 / run->options.rate);
-      if (*due_us > now)
-        g_usleep ((gulong) (*due_us - now));
+      *scheduled_us = run->start_us + (int64_t) ((double) i * 1e6 / run->options.rate);
+      if (*scheduled_us > now)
+        g_usleep ((gulong) (*scheduled_us - now));
     }
-  return *due_us < run->end_us;
+  return *scheduled_us < run->end_us;
 }
 
 static gpointer
-work (gpointer data)
+run_worker (gpointer data)
 {
   struct worker *worker = data;
   struct mt_http_client *client = mt_http_client_create (worker->run->clock);
-  int64_t due_us;
+  int64_t scheduled_us;
 
-  while (wait_for_turn (worker->run, &due_us))
-    send_one (worker, client, due_us);
+  while (wait_for_next (worker->run, &scheduled_us))
+    send_one (worker, client, scheduled_us);
   mt_http_client_destroy (client);
   return NULL;
 }
 
-/* Processor time of a process so far, in us; its resident memory in KB. */
+/* Returns the processor time that a process has used, in us, and sets its resident memory in KB.
+ * Both are 0 if the process does not exist. */
 static int64_t
 read_process (int pid, long *rss_kb)
 {
@@ -252,7 +254,7 @@
   unsigned n = run->options.connections;
   struct worker *workers = g_new0 (struct worker, n);
   struct worker *sum = g_new0 (struct worker, 1);
-  int64_t cpu_before[MAX_LIST];
+  int64_t cpu_before[MAX_OPTION_VALUES];
   long rss_kb;
 
   for (unsigned i = 0; i < run->options.n_pids; i++)
@@ -263,7 +265,7 @@
     {
       workers[i].run = run;
       workers[i].number = i;
-      workers[i].thread = g_thread_new ("load", work, &workers[i]);
+      workers[i].thread = g_thread_new ("load", run_worker, &workers[i]);
     }
   for (unsigned i = 0; i < n; i++)
     {
@@ -280,9 +282,10 @@
 int
 main (int argc, char **argv)
 {
-  static const struct argp argp
-      = { argp_options, parse_option, NULL, "Sends requests and reports what came of them.",
-          NULL,         NULL,         NULL };
+  static const struct argp argp = {
+    argp_options, parse_option, NULL, "Sends requests and reports their outcomes and latencies.",
+    NULL,         NULL,         NULL
+  };
   struct run run = { .clock = mt_clock_system (),
                      .options = { .path = "/quotes",
                                   .method = "GET",
--- a/bench/rollout.c
+++ b/bench/rollout.c
@@ -1,6 +1,6 @@
-/* Measures the roll-out of table changes: from the moment the platform accepted a version to its
- * being in force on the last daemon, as the daemons' JSON logs (event 4001) tell. bench/rollout
- * starts the processes; all of them share this machine's clock. */
+/* Measures the roll-out of table changes: the time from the platform's acceptance of a version
+ * until it is in force on the last daemon, by event 4001 in the daemons' JSON logs. The script
+ * bench/rollout starts the processes; all of them use this machine's clock. */
 #include "medlartrack/error.h"
 #include "medlartrack/log.h"
 #include "medlartrack/tables.h"
@@ -12,11 +12,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_US     (5 * MT_SECOND)
-#define POLL_US     (2 * MT_MS)
-#define PATIENCE_US (10 * MT_SECOND) /* a change that takes longer is counted, not timed */
-/* Changes come at different moments after the one before, while daemons are still on their way back
- * into the watch too. */
+#define CALL_US           (5 * MT_SECOND)
+#define POLL_US           (2 * MT_MS)
+#define CHANGE_TIMEOUT_US (10 * MT_SECOND) /* a change that takes longer is counted, not timed */
+/* The delay before a change varies, so that some changes arrive while daemons have not yet renewed
+ * their watch. */
 #define PHASES   8
 #define PHASE_US (50 * MT_MS)
 
@@ -25,7 +25,7 @@
   const char *platform;
   unsigned changes;
   unsigned slow_ms;
-  bool down; /* the platform goes down as soon as it has accepted */
+  bool down; /* stop the platform as soon as it has accepted a change */
   char **logs;
   int n_logs;
 };
@@ -36,8 +36,8 @@
   struct mt_http_client *client;
   const struct mt_store *store;
   FILE **logs;
-  uint64_t *versions; /* in force, by log */
-  gint64 *times_us;   /* since when, wall clock */
+  uint64_t *versions; /* by log: version in force */
+  gint64 *times_us;   /* by log: wall-clock time at which it came into force */
 };
 
 static void
@@ -58,12 +58,12 @@
 
   if (mt_http_client_call (bench->client, bench->arguments.platform, &call, arena, &answer, NULL)
       != MT_HTTP_WHOLE)
-    g_error ("the stand-in does not take faults");
+    g_error ("the platform stand-in did not accept the fault");
   mt_arena_destroy (arena);
 }
 
-/* Writes the next version as `apply` does, without its pauses. Tells when it was sent and accepted.
- */
+/* Writes the next version of the tables as `medlartrackctl apply` does, but without pauses. Sets
+ * the times at which it was sent and accepted. Returns the version. */
 static uint64_t
 change_tables (struct bench *bench, gint64 *sent_us, gint64 *accepted_us)
 {
@@ -71,8 +71,8 @@
   g_autofree char *id = g_uuid_string_random ();
   g_autofree char *json
       = g_strdup_printf ("{\"routes\":[],\"pools\":[{\"pool\":\"%s\",\"service\":\"bench\"}]}", id);
-  struct mt_tables *wanted = mt_tables_parse (mt_str_from (json), NULL);
-  struct mt_tables *now = NULL;
+  struct mt_tables *next = mt_tables_parse (mt_str_from (json), NULL);
+  struct mt_tables *current = NULL;
   struct mt_store_value value;
   g_autofree char *text = NULL;
   uint64_t version;
@@ -80,22 +80,22 @@
   if (!store->ops->get (store->ctx, MT_TABLES_KEY, &value, NULL))
     g_error ("the platform does not answer");
   if (value.found)
-    now = mt_tables_parse ((struct mt_str){ value.data, value.len }, NULL);
-  version = (now != NULL ? now->version : 0) + 1;
-  text = mt_tables_format_next (now, wanted, version, id);
+    current = mt_tables_parse ((struct mt_str){ value.data, value.len }, NULL);
+  version = (current != NULL ? current->version : 0) + 1;
+  text = mt_tables_format_next (current, next, version, id);
   *sent_us = g_get_real_time ();
   if (store->ops->put (store->ctx, MT_TABLES_KEY, mt_str_from (text), value.index, NULL)
       != MT_STORE_DONE)
     g_error ("the change was not accepted");
   *accepted_us = g_get_real_time ();
   mt_store_value_clear (&value);
-  mt_tables_destroy (now);
-  mt_tables_destroy (wanted);
+  mt_tables_destroy (current);
+  mt_tables_destroy (next);
   return version;
 }
 
 static void
-take_line (struct bench *bench, int log, const char *text)
+parse_log_line (struct bench *bench, int log, const char *text)
 {
   json_t *line = json_loads (text, 0, NULL);
   const char *event = json_string_value (json_object_get (line, "event"));
@@ -124,16 +124,16 @@
     {
       clearerr (bench->logs[i]);
       while (fgets (text, sizeof text, bench->logs[i]) != NULL)
-        take_line (bench, i, text);
+        parse_log_line (bench, i, text);
     }
 }
 
-/* When the version was in force on the last daemon; 0 where that took too long, with the number of
- * daemons that had it. */
+/* Returns when the version came into force on the last daemon, or 0 after CHANGE_TIMEOUT_US. Sets
+ * reached to the number of daemons that have it. */
 static gint64
 wait_for_all (struct bench *bench, uint64_t version, int *reached)
 {
-  gint64 until = g_get_monotonic_time () + PATIENCE_US;
+  gint64 until = g_get_monotonic_time () + CHANGE_TIMEOUT_US;
 
   while (g_get_monotonic_time () < until)
     {
@@ -181,8 +181,8 @@
   const struct arguments *arguments = &bench->arguments;
   g_autoptr (GArray) sent = g_array_new (FALSE, FALSE, sizeof (double));
   g_autoptr (GArray) accepted = g_array_new (FALSE, FALSE, sizeof (double));
-  unsigned late = 0;
-  unsigned unseen = 0;
+  unsigned timed_out = 0;
+  unsigned unread = 0;
 
   for (unsigned i = 0; i < arguments->changes; i++)
     {
@@ -200,9 +200,10 @@
       if (arguments->down)
         set_fault (bench, arguments->slow_ms, true);
       last_us = wait_for_all (bench, version, &reached);
-      /* Read by no daemon before the platform went down, it can't be in force before it is back. */
-      unseen += last_us == 0 && reached == 0;
-      late += last_us == 0 && reached > 0;
+      /* A change that no daemon read before the platform went down can't come into force before the
+       * platform is back. */
+      unread += last_us == 0 && reached == 0;
+      timed_out += last_us == 0 && reached > 0;
       if (last_us == 0)
         continue;
       from_sent = (double) (last_us - sent_us) / MT_MS;
@@ -214,14 +215,14 @@
           arguments->n_logs, arguments->down ? "down after acceptance" : "up", arguments->slow_ms);
   print_times ("from acceptance to the last daemon", accepted);
   print_times ("from sending to the last daemon", sent);
-  printf ("read by some daemons and not in force on all within 10 s: %u\n", late);
-  printf ("read by no daemon before the platform went down, left out above: %u\n", unseen);
+  printf ("read by some daemons and not in force on all within 10 s: %u\n", timed_out);
+  printf ("read by no daemon before the platform went down, left out above: %u\n", unread);
 }
 
 static const struct argp_option options[] = {
   { "platform", 'p', "IP:PORT", 0, "The platform stand-in", 0 },
-  { "changes", 'n', "N", 0, "How many changes", 0 },
-  { "slow-ms", 's', "MS", 0, "The platform answers each call so much later", 0 },
+  { "changes", 'n', "N", 0, "Number of changes", 0 },
+  { "slow-ms", 's', "MS", 0, "Delay of each answer of the platform", 0 },
   { "down", 'd', NULL, 0, "The platform goes down after each acceptance", 0 },
   { 0 },
 };
