--- a/examples/embed.c
+++ b/examples/embed.c
@@ -1,6 +1,7 @@
-/* Embeds the planner in a program of one's own: tables in, a policy of one's own, the assignment
- * document out. A real program writes the document to its store by compare-and-swap between two
- * steps, and gives real reports of its daemons; here one pretends to. */
+/* Example of a program that embeds the planner: it parses tables, plans with a custom policy and
+ * prints the assignment. A real program writes the assignment document to its store by
+ * compare-and-swap after each step, and passes real reports of its daemons; here one daemon is
+ * simulated. */
 #include <medlartrack/planner.h>
 
 #include <stdio.h>
@@ -17,7 +18,7 @@
       "{\"name\":\"o1\",\"address\":\"10.0.0.3:80\",\"zone\":\"west\",\"rack\":\"r1\"},"
       "{\"name\":\"o2\",\"address\":\"10.0.0.4:80\",\"zone\":\"west\",\"rack\":\"r2\"}]}]}";
 
-/* Asks for one instance more wherever anything waits. */
+/* Wants one more instance for each pool whose demand exceeds its slots. */
 static void
 decide_eager (struct mt_capacity_pool *pools, size_t n)
 {
@@ -28,23 +29,24 @@
 
 static const struct mt_capacity_policy eager = {
   .name = "eager",
-  .description = "one instance more wherever anything waits",
+  .description = "one more instance for each pool whose demand exceeds its slots",
   .decide = decide_eager,
   .moves = true,
 };
 
-/* One step, and what a store would have kept of it. */
+/* Runs one step. Returns the next assignment, as a store would keep it, and frees the current one.
+ */
 static struct mt_assign *
-step (struct mt_planner_input *input, struct mt_assign *held)
+run_step (struct mt_planner_input *input, struct mt_assign *current)
 {
-  struct mt_assign *next = mt_assign_next (held, "example");
+  struct mt_assign *next = mt_assign_next (current, "example");
   struct mt_planner_result *result = mt_planner_result_create ();
 
   mt_planner_step (input, next, result);
   for (guint i = 0; i < result->reports->len; i++)
     printf ("report: %s\n", (char *) result->reports->pdata[i]);
   mt_planner_result_destroy (result);
-  mt_assign_destroy (held);
+  mt_assign_destroy (current);
   return next;
 }
 
@@ -70,8 +72,9 @@
   input.n_demands = 1;
   for (input.now_s = 1; input.now_s <= 3; input.now_s++)
     {
-      assign = step (&input, assign);
-      daemon.version = assign->version; /* the daemon took it and has nothing in flight */
+      assign = run_step (&input, assign);
+      daemon.version
+          = assign->version; /* the daemon has applied it and has no requests in flight */
     }
   for (size_t i = 0; i < assign->n_records; i++)
     printf ("%s serves %s since version %" G_GUINT64_FORMAT "\n", assign->records[i].instance,
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,5 +1,5 @@
-/* A fuzz target is one function, called by libFuzzer (tools/fuzz) or, in every test run, by
- * replay.c with the committed corpus. It aborts where something that must hold doesn't. */
+/* Each fuzz target implements this function. libFuzzer calls it (tools/fuzz), and in every test run
+ * replay.c calls it with the committed corpus. It aborts if an invariant does not hold. */
 #ifndef FUZZ_H
 #define FUZZ_H
 
--- a/tests/fuzz/fuzz_frames.c
+++ b/tests/fuzz/fuzz_frames.c
@@ -1,4 +1,5 @@
-/* Any payload is refused with a reason, or its frame encodes and decodes to the same. */
+/* Any payload is rejected with an error, or gives a frame that is unchanged after encoding and
+ * decoding. */
 #include "fuzz.h"
 
 #include "frame.h"
--- a/tests/fuzz/fuzz_settings.c
+++ b/tests/fuzz/fuzz_settings.c
@@ -1,4 +1,4 @@
-/* Any text is refused with a reason, or gives settings whose values keep to their ranges. */
+/* Any text is rejected with an error, or gives settings whose values are within their ranges. */
 #include "fuzz.h"
 
 #include "medlartrack/settings.h"
--- a/tests/fuzz/fuzz_tables.c
+++ b/tests/fuzz/fuzz_tables.c
@@ -1,5 +1,5 @@
-/* Any text is refused with a reason, or its tables format, parse back equal, and can follow what is
- * accepted. */
+/* Any text is rejected with an error, or gives tables that are unchanged after formatting and
+ * parsing, and that can become the next version after the accepted one. */
 #include "fuzz.h"
 
 #include "medlartrack/acceptance.h"
@@ -17,7 +17,7 @@
 }
 
 static void
-follow (const struct mt_tables *tables)
+check_next_versions (const struct mt_tables *tables)
 {
   struct mt_tables *first = reparse (mt_tables_format_next (NULL, tables, 1, "first"));
   struct mt_tables *next = reparse (mt_tables_format_next (tables, first, 2, "next"));
@@ -55,7 +55,7 @@
   g_assert (mt_tables_same_rows (tables, printed));
   g_assert (back->version == tables->version && mt_str_equal (back->id, tables->id));
   g_assert (mt_str_equal (back->changes, tables->changes));
-  follow (tables);
+  check_next_versions (tables);
   mt_tables_destroy (printed);
   mt_tables_destroy (back);
   mt_tables_destroy (tables);
--- a/tests/fuzz/fuzz_words.c
+++ b/tests/fuzz/fuzz_words.c
@@ -1,5 +1,5 @@
-/* Any text of a caller, an operator or a worker is refused, or read into something that is whole:
- * a configuration whose workspaces all have a name, a job whose steps wait for earlier ones. */
+/* Any text of a caller, an operator or a worker is rejected, or parsed into a valid object: a
+ * configuration whose workspaces all have a name, a job whose steps depend only on earlier ones. */
 #include "fuzz.h"
 
 #include "adapter.h"
@@ -7,10 +7,10 @@
 #include <string.h>
 
 static void
-read_config (const struct mt_codec *words, struct mt_str text)
+check_config (const struct mt_codec *codec, struct mt_str text)
 {
   g_autoptr (GError) error = NULL;
-  struct mt_fleet_config *config = words->ops->parse_config (text, &error);
+  struct mt_fleet_config *config = codec->ops->parse_config (text, &error);
 
   g_assert ((config == NULL) == (error != NULL));
   if (config == NULL)
@@ -28,9 +28,9 @@
 }
 
 static void
-read_job (const struct mt_codec *words, struct mt_str text)
+check_job (const struct mt_codec *codec, struct mt_str text)
 {
-  struct mt_job_spec *spec = words->ops->parse_job ("id", "route", text, NULL);
+  struct mt_job_spec *spec = codec->ops->parse_job ("id", "route", text, NULL);
 
   if (spec == NULL)
     return;
@@ -44,13 +44,13 @@
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
   struct mt_str text = { (const char *) data, size };
-  struct mt_codec words = mt_adapter_words ();
+  struct mt_codec codec = mt_adapter_words ();
   struct mt_registry_entry entry;
 
-  read_config (&words, text);
-  read_job (&words, text);
-  mt_wave_free (words.ops->parse_wave (text));
-  if (words.ops->parse_worker ("servers/i-1", text, &entry))
+  check_config (&codec, text);
+  check_job (&codec, text);
+  mt_wave_free (codec.ops->parse_wave (text));
+  if (codec.ops->parse_worker ("servers/i-1", text, &entry))
     mt_registry_entry_clear (&entry);
   return 0;
 }
--- a/tests/fuzz/replay.c
+++ b/tests/fuzz/replay.c
@@ -1,4 +1,4 @@
-/* Runs one fuzz target on every file of the folder named. */
+/* Runs a fuzz target on every file of a folder. Usage: replay_TARGET FOLDER */
 #include "fuzz.h"
 
 #include <glib.h>
@@ -10,13 +10,13 @@
 {
   g_autofree char *data = NULL;
   gsize len = 0;
-  g_autofree uint8_t *exact = NULL;
+  g_autofree uint8_t *copy = NULL;
 
   if (!g_file_get_contents (path, &data, &len, NULL))
     return false;
-  /* Without the NUL that GLib adds, so that a sanitizer sees a read past the end. */
-  exact = g_memdup2 (data, len);
-  LLVMFuzzerTestOneInput (exact, len);
+  /* A copy without the NUL that GLib adds, so that a sanitizer detects a read past the end. */
+  copy = g_memdup2 (data, len);
+  LLVMFuzzerTestOneInput (copy, len);
   return true;
 }
 
