--- a/tests/ctl/test_apply.c
+++ b/tests/ctl/test_apply.c
@@ -90,9 +90,9 @@
   op->context.out = open_memstream (&op->out, &op->out_len);
   op->context.err = open_memstream (&op->err, &op->err_len);
   op->calls = 0;
-  fake_store_before_call (op->fake, before_call, op);
+  fake_store_set_call_hook (op->fake, before_call, op);
   code = mt_command_apply (&op->context, op->path);
-  fake_store_before_call (op->fake, NULL, NULL);
+  fake_store_set_call_hook (op->fake, NULL, NULL);
   fclose (op->context.out);
   fclose (op->context.err);
   return code;
@@ -217,7 +217,7 @@
 {
   struct operator* op = * state;
 
-  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   apply_accepted (op, 0, "p");
   assert_contains (op->out, "\"accepted\":1");
   assert_int_equal (fake_store_writes (op->fake), 1);
@@ -242,7 +242,7 @@
 
   apply_accepted (op, 0, "p");
   write_tables_file (op, 1, "mine");
-  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   op->act = other_applies_on_top;
   op->act_before_call = PUT_CALL + 1;
   assert_int_equal (run_apply (op), MT_EXIT_OK);
@@ -258,7 +258,7 @@
 
   apply_accepted (op, 0, "p");
   write_tables_file (op, 1, "mine");
-  fake_store_fault_next (op->fake, FAKE_FAULT_DROP, 1, true);
+  fake_store_fault_next (op->fake, FAKE_FAULT_LOSE_REQUEST, 1, true);
   op->act = other_applies;
   op->act_before_call = PUT_CALL + 1;
   assert_int_equal (run_apply (op), MT_EXIT_CONFLICT);
@@ -275,9 +275,9 @@
 
   apply_accepted (op, 0, "p");
   write_tables_file (op, 1, "late");
-  fake_store_fault_next (op->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (op->fake, FAKE_FAULT_DELAY, 1, true);
   assert_int_equal (run_apply (op), MT_EXIT_UNKNOWN);
-  fake_store_deliver (op->fake);
+  fake_store_deliver_delayed (op->fake);
   assert_int_equal (run_apply (op), MT_EXIT_OK);
   assert_contains (op->out, "\"accepted\":2");
   assert_contains (op->out, "\"unchanged\":true");
--- a/tests/fakes/test_fake_store.c
+++ b/tests/fakes/test_fake_store.c
@@ -45,7 +45,7 @@
 }
 
 static void
-test_compare_and_swap (void **state)
+test_put_with_wrong_index_conflicts (void **state)
 {
   struct fixture *f = *state;
   struct mt_store_value value;
@@ -58,29 +58,32 @@
   mt_store_value_clear (&value);
 }
 
+/* Each write fault has its result, and takes effect or not, as fake_store.h says. */
 static void
-test_faults (void **state)
+test_faults_take_effect_as_documented (void **state)
 {
   struct fixture *f = *state;
 
-  fake_store_fault_next (f->fake, FAKE_FAULT_DROP, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_REQUEST, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 0);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LATE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_DELAY, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 0);
-  fake_store_deliver (f->fake);
+  fake_store_deliver_delayed (f->fake);
   assert_int_equal (fake_store_count (f->fake, ""), 1);
   fake_store_force (f->fake, "k", NULL);
-  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE, 1, true);
+  fake_store_fault_next (f->fake, FAKE_FAULT_LOSE_ANSWER, 1, true);
   assert_int_equal (put (f, 0), MT_STORE_UNKNOWN);
   assert_int_equal (fake_store_count (f->fake, ""), 1);
   fake_store_set_down (f->fake, true);
   assert_int_equal (put (f, 0), MT_STORE_FAILED);
 }
 
+/* A key is held until its lease expires; then another lease acquires it, and the first can't be
+ * renewed. */
 static void
-test_leases (void **state)
+test_expired_lease_releases_key (void **state)
 {
   struct fixture *f = *state;
   const struct mt_store_ops *ops = f->store->ops;
@@ -102,9 +105,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (test_compare_and_swap, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_faults, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_leases, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_put_with_wrong_index_conflicts, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_faults_take_effect_as_documented, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_expired_lease_releases_key, set_up, tear_down),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
