--- a/core/base/breaker.c
+++ b/core/base/breaker.c
@@ -255,7 +255,7 @@
 
 static const struct mt_store_ops breaker_ops = {
   .name = "breaker",
-  .description = "calls a store unless it is known to be down",
+  .description = "passes calls to a store unless it is known to be down",
   .get = breaker_get,
   .watch = breaker_watch,
   .list = breaker_list,
--- a/core/base/pack.c
+++ b/core/base/pack.c
@@ -92,7 +92,7 @@
 static bool
 set_unpack_error (GError **error, enum mt_error code, const char *why)
 {
-  g_set_error (error, MT_ERROR, code, "msgpack %s; check that both sides run the same version",
+  g_set_error (error, MT_ERROR, code, "msgpack data %s; check that both sides run the same version",
                why);
   return false;
 }
--- a/core/config/forms.c
+++ b/core/config/forms.c
@@ -107,10 +107,10 @@
 const struct mt_text_format mt_text_format_name
     = { "name", "write letters, digits, \".\", \"_\" and \"-\", no \".\" first", accepts_name };
 const struct mt_text_format mt_text_format_address
-    = { "address", "write IP:PORT by number, port 1 to 65535, such as 10.0.0.7:8080",
+    = { "address", "write IP:PORT with a numeric IP, port 1 to 65535, such as 10.0.0.7:8080",
         accepts_address };
 const struct mt_text_format mt_text_format_listen
-    = { "listen", "write IP:PORT by number, port 0 to 65535, such as 10.0.0.7:8080",
+    = { "listen", "write IP:PORT with a numeric IP, port 0 to 65535, such as 10.0.0.7:8080",
         accepts_listen };
 const struct mt_text_format mt_text_format_method
     = { "method", "write a method in capitals, such as GET, or \"*\" for any", accepts_method };
--- a/core/config/settings.c
+++ b/core/config/settings.c
@@ -95,7 +95,7 @@
     return true;
   found = json_stringn (settings->peer_listen.data, settings->peer_listen.len);
   mt_fields_refuse (error, location, "peer_listen", found,
-                    "listen has it already; write another port");
+                    "listen has the same address; write another port");
   json_decref (found);
   return false;
 }
--- a/core/config/tables_budget.c
+++ b/core/config/tables_budget.c
@@ -251,7 +251,8 @@
                               "lower min_instances or add instances");
       if (drains && pool->min_instances >= reachable)
         return refuse_number (error, pool, "min_instances", pool->min_instances, zone,
-                              reachable - (reachable > 0), "what is left while the wave drains one",
+                              reachable - (reachable > 0),
+                              "instances left while the wave drains one",
                               "no drain could begin: lower min_instances, add an instance, or "
                               "remove the wave");
     }
@@ -350,8 +351,8 @@
       g_ptr_array_add (
           warnings,
           g_strdup_printf ("table pools, row \"%s\", column max_unavailable: found \"%u\", rack %s "
-                           "has %u instances; the wave drains that rack in parts, raise "
-                           "max_unavailable to have it done at once",
+                           "has %u instances; the wave drains that rack in parts; raise "
+                           "max_unavailable to drain it at once",
                            pool->name.data, pool->max_unavailable, (const char *) rack,
                            GPOINTER_TO_UINT (n)));
       return;
--- a/core/config/tables_change.c
+++ b/core/config/tables_change.c
@@ -286,7 +286,7 @@
 refuse_emptied_zone (const struct mt_route *route, const char *zone, GError **error)
 {
   g_autofree char *remedy = g_strdup_printf (
-      "it would have no instance left in data centre \"%s\", which had some: keep one there, or "
+      "the route would have no instance left in data centre \"%s\"; keep one there, or "
       "give `--empty %s` if that data centre is to have none",
       zone, zone);
   struct mt_refusal refusal
--- a/core/config/tables_check.c
+++ b/core/config/tables_check.c
@@ -74,14 +74,14 @@
   if (owner != NULL)
     {
       remedy = g_strdup_printf (
-          "row \"%s\" has it already and an instance belongs to exactly one pool; remove one",
+          "row \"%s\" lists it too, but an instance belongs to exactly one pool; remove one",
           owner->name.data);
       return refuse_text (error, "pools", pool->name, "instances.name", instance->name, remedy);
     }
   owner = find_or_set_owner (addresses, instance->address, pool);
   if (owner == NULL)
     return true;
-  remedy = g_strdup_printf ("an instance of row \"%s\" has it already; correct one of them",
+  remedy = g_strdup_printf ("an instance of row \"%s\" has the same address; correct one of them",
                             owner->name.data);
   return refuse_text (error, "pools", pool->name, "instances.address", instance->address, remedy);
 }
@@ -179,7 +179,7 @@
                             "the name is used twice; rename one row");
       if (existing == NULL)
         continue;
-      remedy = g_strdup_printf ("row \"%s\" has this method and path already, one would shadow "
+      remedy = g_strdup_printf ("row \"%s\" has the same method and path, so one would shadow "
                                 "the other; remove one",
                                 existing->name.data);
       return refuse_text (error, "routes", route->name, "path", route->path, remedy);
--- a/core/control/capacity.c
+++ b/core/control/capacity.c
@@ -142,8 +142,8 @@
 
 const struct mt_capacity_policy mt_capacity_policies[] = {
   { .name = "default",
-    .description = "holds what the weights make cheaper: the tables' sizes, or a small base and a "
-                   "shared reserve that follows observed surges",
+    .description = "keeps the cheaper of two sizes by the weights: the tables' sizes, or a small "
+                   "base and a shared reserve that follows observed surges",
     .decide = decide_default,
     .moves = true,
     .delays_release = true },
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -326,7 +326,7 @@
   bool in_wave = record->goal == MT_GOAL_REBOOT;
 
   mt_planner_report (
-      plan, "instance %s did not drain within %u s, held by daemon %s: it serves on%s",
+      plan, "instance %s did not drain within %u s, held by daemon %s: it stays in service%s",
       record->instance, drain_limit (plan, record), held_by,
       in_wave ? " and the wave skips it; give the wave a new id to try it again" : "");
   /* A move that the operator asked for is retried: until then the pool that it serves is its home
@@ -446,7 +446,7 @@
   if (input->tables->version < next->tables_version)
     {
       mt_planner_report (&plan, "the planner's tables are older than those of the assignment "
-                                "document; it waits for newer ones");
+                                "document; it waits for newer tables");
       return;
     }
   if (input->tables->version > next->tables_version)
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -151,11 +151,12 @@
   if (wave.waiting > 0 && wave.waiting == wave.down && wave.under_way == 0)
     skip_down (plan, &wave);
   else if (wave.waiting > 0 && wave.under_way == 0)
-    mt_planner_report (plan,
-                       "wave %s of pool %s waits with %u instances to go: the budget is spent by "
-                       "instances that are out; raise max_unavailable, lower min_instances, or "
-                       "write \"leaving\": true in the rows of those that are lost",
-                       pool->wave.id.data, pool->name.data, wave.waiting);
+    mt_planner_report (
+        plan,
+        "wave %s of pool %s waits with %u instances remaining: instances that are out "
+        "use up the budget; raise max_unavailable, lower min_instances, or "
+        "write \"leaving\": true in the rows of those that are lost",
+        pool->wave.id.data, pool->name.data, wave.waiting);
 }
 
 void
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -159,10 +159,10 @@
   unsigned (*need) (const struct mt_controller_pool *p); /* machines in total, this tier included */
   bool overdue;                                          /* takes no machines from other pools */
 } tiers[] = {
-  { "pinned", "machines that can't leave, or one more for tasks that find none", need_pinned },
+  { "pinned", "machines that can't leave, or one more if a task fits on no worker", need_pinned },
   { "keep", "reserve for the start of the next surge", need_reserve },
-  { "timely", "keeps jobs within their objectives on average", need_mean },
-  { "hasty", "margin, since machines arrive late and arrivals come in bunches", need_burst },
+  { "timely", "machines that keep jobs within their objectives on average", need_mean },
+  { "hasty", "margin for machines that arrive late and for bursts of jobs", need_burst },
   { "late", "accepted work that can't meet its objective any more", need_overdue, .overdue = true },
 };
 
--- a/ctl/command_explain.c
+++ b/ctl/command_explain.c
@@ -182,8 +182,9 @@
     g_string_append_printf (out, "; %u of its runs made no progress and were restarted elsewhere",
                             job->stalled);
   if (job->unanswered > 0)
-    g_string_append_printf (out, "; %u of its starts got no answer and were stopped for certainty",
-                            job->unanswered);
+    g_string_append_printf (
+        out, "; %u of its starts got no answer and were stopped, since they might still run",
+        job->unanswered);
   if (job->failed > 0)
     g_string_append_printf (out, "; %u of its runs failed", job->failed);
 }
@@ -194,7 +195,7 @@
   GString *out = g_string_new (NULL);
 
   if (job->accepted == NULL && job->outcome_unknown != NULL)
-    g_string_append_printf (out, "its caller was told that the outcome is unknown: %s",
+    g_string_append_printf (out, "its submission was answered with an unknown outcome: %s",
                             text_of (job->outcome_unknown, "why"));
   else if (job->accepted == NULL && job->refused != NULL)
     g_string_append_printf (out, "refused, it never ran: %s", text_of (job->refused, "why"));
@@ -202,10 +203,10 @@
     g_string_append_printf (out, "its caller was refused, nothing was stored: %s",
                             text_of (job->caller_refused, "why"));
   else if (job->accepted == NULL)
-    g_string_append (out, "no daemon's log tells of its acceptance");
+    g_string_append (out, "no daemon's log records its acceptance");
   else if (job->ended == NULL)
-    g_string_append (out, job->started != NULL ? "accepted and begun, not ended"
-                                               : "accepted, not begun");
+    g_string_append (out, job->started != NULL ? "accepted and started, not ended"
+                                               : "accepted, not started");
   else
     g_string_append_printf (
         out, "%s %lld ms after its acceptance", text_of (job->ended, "state"),
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -316,7 +316,8 @@
   ok = ok && apply_updates (runner, &error) && plan_round (runner, &error);
   if (!ok)
     {
-      drop_state (runner, error != NULL ? error->message : "another planner's batch came first");
+      drop_state (runner,
+                  error != NULL ? error->message : "another planner recorded a batch first");
       return RETRY_DELAY_US;
     }
   return MAX (0, started_us + ROUND_INTERVAL_US - mt_clock_now (runner->options.clock));
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -72,7 +72,7 @@
 
 static const struct mt_membership_callbacks log_changes = {
   .name = "log",
-  .description = "logs what happens to members",
+  .description = "logs changes of the members' states",
   .changed = log_change,
 };
 
--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -154,7 +154,7 @@
   g_free (l->holder);
   l->holder = g_strndup (item->value.data, item->value.len);
   if (l->token != 0 && item->revision > l->token)
-    drop_leadership (c, l, "another daemon claimed it");
+    drop_leadership (c, l, "another daemon claimed the leadership");
 }
 
 static void
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -515,7 +515,7 @@
                                    mt_loop_now ());
       if (answer == MT_MACHINE_FENCED)
         mt_cluster_drop_leadership (lead->options.cluster, lead->options.leadership,
-                                    "a machine has had an order with a higher fencing token");
+                                    "a machine has seen a higher fencing token");
     }
   unref (lead);
   g_free (call->machine);
--- a/net/address.c
+++ b/net/address.c
@@ -23,7 +23,8 @@
       if (inet_pton (AF_INET, host, &out->sin_addr) == 1)
         return true;
     }
-  g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS, "address \"%s\"; write IP:PORT by number", text);
+  g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS,
+               "address \"%s\" is not valid; write IP:PORT with a numeric IP", text);
   return false;
 }
 
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -278,7 +278,7 @@
       if (body->len + (size_t) n > call->max_answer_bytes)
         {
           g_set_error (error, MT_ERROR, MT_ERROR_LIMIT,
-                       "answer is longer than %zu bytes; raise limits.answer_bytes",
+                       "the answer is longer than %zu bytes; raise limits.answer_bytes",
                        call->max_answer_bytes);
           return false;
         }
@@ -318,8 +318,9 @@
   answer->status = ne_get_status (request)->code;
   if (!answer_is_delimited (request, call->method, answer->status))
     {
-      g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
-                   "the answer has no length; have the minion send Content-Length or chunks");
+      g_set_error (
+          error, MT_ERROR, MT_ERROR_UNKNOWN,
+          "the answer has no length; have the minion send Content-Length or a chunked body");
       return false;
     }
   if (strcmp (call->method, "HEAD") == 0)
@@ -407,7 +408,7 @@
   if (call->id.len == 0 || id.data == NULL || mt_str_equal (id, call->id))
     return MT_HTTP_COMPLETE;
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN,
-               "the answer has another request's id; see the minion's log");
+               "the answer carries the id of another request; see the minion's log");
   return MT_HTTP_UNKNOWN;
 }
 
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -218,7 +218,7 @@
       || !mt_http_is_request_target (request->path))
     return "malformed request line or header";
   if (has_ambiguous_length (collector) || (length.data != NULL && !mt_str_to_u64 (length, &bytes)))
-    return "the length of the body is not clear; send one Content-Length or chunks";
+    return "the body's length is ambiguous; send one Content-Length or a chunked body";
   *status = 413;
   if (bytes > server->options.max_body_bytes)
     return "body too long; see limits.body_bytes";
@@ -343,7 +343,8 @@
   if (server->mhd == NULL)
     {
       g_set_error (error, MT_ERROR, MT_ERROR_SETTINGS,
-                   "can't listen on %s; check that no other process does", options->address);
+                   "can't listen on %s; check that no other process uses the port",
+                   options->address);
       mt_http_connections_destroy (server->connections);
       g_free (server);
       return NULL;
--- a/tests/config/test_settings.c
+++ b/tests/config/test_settings.c
@@ -32,7 +32,7 @@
   { WITH ("\"log_level\":1"), { "log_level", "found 1" } },
   { WITH ("\"peers\":\"127.0.0.1:1\""), { "peers", "write a list" } },
   { WITH ("\"peers\":[7]"), { "peers", "found 7", "IP:PORT" } },
-  { WITH ("\"peers\":[\"host:1\"]"), { "peers", "\"host:1\"", "by number" } },
+  { WITH ("\"peers\":[\"host:1\"]"), { "peers", "\"host:1\"", "numeric IP" } },
   { WITH ("\"peers\":[\"127.0.0.1:0\"]"), { "peers", "port 1 to 65535" } },
   { WITH ("\"peers\":[\"10.0.0.1:1\",\"10.0.0.1:1\"]"), { "peers", "10.0.0.1:1", "twice" } },
   { WITH ("\"limits\":7"), { "settings, limits", "found 7", "write an object" } },
@@ -48,12 +48,12 @@
   { "{\"name\":\"d1\",\"zone\":\"we/st\",\"listen\":\"127.0.0.1:0\"}",
     { "settings, zone", "\"we/st\"", "letters, digits" } },
   { "{\"name\":\"d1\",\"zone\":\"west\",\"listen\":\"localhost:80\"}",
-    { "settings, listen", "\"localhost:80\"", "by number" } },
+    { "settings, listen", "\"localhost:80\"", "numeric IP" } },
   { "{\"name\":\"d1\",\"zone\":\"west\",\"listen\":\"127.0.0.1:65536\"}",
     { "settings, listen", "65535" } },
   { "{\"name\":\"d1\",\"zone\":\"west\",\"listen\":\"127.0.0.1:1\",\"peer_listen\":\"127.0.0.1:1\","
     "\"platform\":\"127.0.0.1:2\"}",
-    { "peer_listen", "\"127.0.0.1:1\"", "listen has it already" } },
+    { "peer_listen", "\"127.0.0.1:1\"", "listen has the same address" } },
   { "{\"name\":\"d1\",\"zone\":\"west\",\"listen\":\"127.0.0.1:1\",\"peer_listen\":\"127.0.0.1:2\","
     "\"platform\":\"127.0.0.1:0\"}",
     { "settings, platform", "\"127.0.0.1:0\"", "port 1 to 65535" } },
--- a/tests/config/test_tables.c
+++ b/tests/config/test_tables.c
@@ -38,7 +38,7 @@
   { TABLES (ROUTE ("r", "/a", "p", "") "," ROUTE ("r", "/b", "p", ""), POOL ("p", "", THREE)),
     { "table routes", "row \"r\"", "is used twice" } },
   { TABLES ("", POOL ("p", "", THREE) "," POOL ("q", "", INSTANCE ("a", "9", "west", ""))),
-    { "row \"q\"", "instances.name", "\"a\"", "row \"p\" has it", "exactly one pool" } },
+    { "row \"q\"", "instances.name", "\"a\"", "row \"p\" lists it too", "exactly one pool" } },
   { TABLES ("", POOL ("p", "", THREE) "," POOL ("q", "", INSTANCE ("z", "1", "west", ""))),
     { "instances.address", "\"10.0.0.1:1\"", "row \"p\"" } },
   { TABLES ("", POOL ("p", "", INSTANCE ("a", "080", "west", ""))), { "address", "IP:PORT" } },
@@ -47,7 +47,7 @@
   { TABLES ("",
             "{\"pool\":\"p\",\"service\":\"s\",\"instances\":[{\"name\":\"a\",\"address\":"
             "\"host.example:80\",\"zone\":\"w\",\"rack\":\"r\"}]}"),
-    { "row \"a\"", "address", "\"host.example:80\"", "by number" } },
+    { "row \"a\"", "address", "\"host.example:80\"", "numeric IP" } },
   { TABLES ("", POOL ("p", "", INSTANCE ("a", "1", "we/st", ""))), { "zone", "letters, digits" } },
   { TABLES ("", POOL ("p", "", INSTANCE ("a", "1", "west", ",\"slots\":16"))),
     { "row \"a\"", "slots", "16", "from 1 to 8" } },
--- a/tests/ctl/test_explain.c
+++ b/tests/ctl/test_explain.c
@@ -112,8 +112,9 @@
   g_autofree char *cause = explain_cause (lines, "00f6226332f5636d", &code);
 
   assert_int_equal (code, MT_EXIT_OK);
-  assert_string_equal (cause, "accepted, not begun; 1 of its starts got no answer and were stopped "
-                              "for certainty");
+  assert_string_equal (cause,
+                       "accepted, not started; 1 of its starts got no answer and were stopped, "
+                       "since they might still run");
 }
 
 /* Guards against a caller whose key was revoked getting no reason for the refusal. */
@@ -138,7 +139,7 @@
       = explain_cause ("some collector's words\n{\"x\":1}\n{broken\n", "00f6226332f5636d", &code);
 
   assert_int_equal (code, MT_EXIT_REFUSED);
-  assert_string_equal (cause, "no daemon's log tells of its acceptance");
+  assert_string_equal (cause, "no daemon's log records its acceptance");
 }
 
 int
