--- a/daemon/answer.h
+++ b/daemon/answer.h
@@ -9,8 +9,8 @@
 struct mt_answer_typed
 {
   int status;
-  const char *outcome; /* static */
-  const char *reason;
+  const char *outcome;    /* static */
+  const char *reason;     /* written into JSON as it is: must not need escapes */
   unsigned retry_after_s; /* 0: a retry does not help */
 };
 
@@ -25,6 +25,7 @@
 /* Whether the header is reserved for what the daemon itself sends to callers and minions. Such
  * headers are not forwarded. */
 bool mt_answer_is_own_header (struct mt_str name);
+/* Removes the reserved headers from a minion's answer, except Medlartrack-Request-Id. */
 void mt_answer_remove_own_headers (struct mt_http_answer *answer);
 
 #endif
--- a/daemon/claim_owner.h
+++ b/daemon/claim_owner.h
@@ -19,21 +19,21 @@
   MT_CLAIM_SEND_UNKNOWN, /* the owner may have committed the claim */
 };
 
-/* Asks the owner to commit one claim; sets the request's result if the owner answered. The owner
- * gives up before this daemon does. A third of the time until the claim's deadline remains for this
- * daemon to commit the claim itself. */
+/* Asks the owner to commit one claim; sets the request's result if the owner answered. Blocks. The
+ * owner gives up before this daemon does. A third of the time until the claim's deadline remains
+ * for this daemon to commit the claim itself. */
 enum mt_claim_send_result mt_claim_owner_request (struct mt_peers *peers,
                                                   const char *owner,
                                                   const struct mt_clock *clock,
                                                   struct mt_once_request *request);
-/* Sends the ends of claims (struct mt_record) to the owner. Returns false if the owner did not
- * confirm them. */
+/* Sends the ends of claims (struct mt_record) to the owner. Blocks. Returns false if the owner did
+ * not confirm them. */
 bool mt_claim_owner_send_ends (struct mt_peers *peers,
                                const char *owner,
                                const struct mt_clock *clock,
                                const GArray *ends);
 
-/* Encodes the owner's reply; to be freed with free. */
+/* Returns the owner's reply, encoded, to be freed with free. */
 char *mt_claim_owner_encode_reply (enum mt_once_result result, int status, size_t *len);
 
 #endif
--- a/daemon/claims.h
+++ b/daemon/claims.h
@@ -49,12 +49,12 @@
 
 /* Starts one thread for each shard, which commits that shard's claims. */
 struct mt_claims *mt_claims_create (const struct mt_claims_options *options);
-/* Call once no thread uses the claims any more. Tries to record the pending ends. */
+/* Call when no thread uses the claims any more. Tries to record the pending ends. */
 void mt_claims_destroy (struct mt_claims *claims);
 
-/* Claims the key, which is unique within scope. scope is the request's path, since that is the same
- * when the request is sent again. A name from the tables would not do: an operator may rename it
- * between the two. */
+/* Claims the key, which is unique within scope; sets *claim. scope is the request's path, since
+ * that is the same when the request is sent again. A name from the tables would not do: an operator
+ * may rename it between the two. */
 enum mt_claim_result mt_claims_acquire (struct mt_claims *claims,
                                         struct mt_str scope,
                                         struct mt_str key,
--- a/daemon/control.h
+++ b/daemon/control.h
@@ -39,9 +39,9 @@
 void mt_control_destroy (struct mt_control *control);
 /* Whether this daemon holds the planner's lease, as far as it knows. Any thread. */
 bool mt_control_is_planner (struct mt_control *control);
-/* Number of calls to the platform so far. */
+/* Returns the number of calls to the platform so far. Any thread. */
 uint64_t mt_control_calls (const struct mt_control *control);
-/* Adds the state of control for operators. */
+/* Adds the state of the control plane, for operators. Any thread. */
 void mt_control_dump (struct mt_control *control, json_t *out);
 
 #endif
--- a/daemon/counters.h
+++ b/daemon/counters.h
@@ -27,6 +27,7 @@
 };
 
 void mt_counters_add (struct mt_counters *counters, enum mt_counter which, uint64_t n);
+/* Adds each counter to the object under its name. */
 void mt_counters_dump (const struct mt_counters *counters, json_t *out);
 
 #endif
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -8,13 +8,15 @@
 
 struct mt_daemon;
 
-/* settings must outlive the daemon. Returns NULL with an error if it can't start. */
+/* Creates and starts the daemon. settings must outlive it. Returns NULL with an error if it can't
+ * start. */
 struct mt_daemon *mt_daemon_create (const struct mt_settings *settings, GError **error);
 /* Stops gracefully: accepts no new connection, completes the requests in flight, then frees
  * everything. */
 void mt_daemon_destroy (struct mt_daemon *daemon);
+/* Returns the port for callers. */
 unsigned mt_daemon_port (const struct mt_daemon *daemon);
-/* Port for other daemons and medlartrackctl. */
+/* Returns the port for other daemons and medlartrackctl. */
 unsigned mt_daemon_peer_port (const struct mt_daemon *daemon);
 /* Returns the state as JSON text, to be freed with g_free. */
 char *mt_daemon_dump (struct mt_daemon *daemon);
--- a/daemon/documents.h
+++ b/daemon/documents.h
@@ -52,6 +52,7 @@
 
 struct mt_documents *mt_documents_create (const struct mt_clock *clock);
 void mt_documents_destroy (struct mt_documents *documents);
+/* Adds a document to replicate; ctx is passed to its callbacks. */
 void
 mt_documents_add (struct mt_documents *documents, const struct mt_document *document, void *ctx);
 /* Returns the version in force here, for the heartbeat; 0 for a document that was not added. */
@@ -63,7 +64,7 @@
                               struct mt_membership *membership,
                               struct mt_document_fetch *out,
                               int64_t *due_us);
-/* To be called when a fetch has ended, successfully or not. */
+/* Call when a fetch has ended, successfully or not. */
 void mt_documents_finish_fetch (struct mt_documents *documents,
                                 const struct mt_document_fetch *fetch);
 
--- a/daemon/feed.h
+++ b/daemon/feed.h
@@ -23,7 +23,7 @@
 /* Returns at once; afterwards nothing is offered to the views. The pending watch is abandoned: the
  * thread frees its state when the watch ends, or ends with the process. */
 void mt_feed_destroy (struct mt_feed *feed);
-/* Number of calls to the platform so far; a watch counts as one. */
+/* Returns the number of calls to the platform so far; a watch counts as one. */
 uint64_t mt_feed_calls (const struct mt_feed *feed);
 
 #endif
--- a/daemon/front.h
+++ b/daemon/front.h
@@ -19,12 +19,14 @@
   struct mt_http_exchanges *exchanges;
   struct mt_claims *claims; /* for requests that may not be repeated */
   struct mt_counters *counters;
-  size_t answer_bytes;
+  size_t answer_bytes; /* limit of an answer's body */
 };
 
+/* The objects that the options name outlive the front. */
 struct mt_front *mt_front_create (const struct mt_front_options *options);
 void mt_front_destroy (struct mt_front *front);
-/* For mt_http_server_options.handle. */
+/* Handles one request and sets its answer; blocks. For mt_http_server_options.handle; ctx is the
+ * mt_front. */
 void mt_front_handle (void *ctx, struct mt_http_request *request);
 
 #endif
--- a/daemon/heartbeat.h
+++ b/daemon/heartbeat.h
@@ -18,9 +18,9 @@
 void mt_heartbeat_set_jobs (struct mt_heartbeat *heartbeat, struct mt_jobs_part *jobs);
 /* Sets the proxied daemons, which delay drains. Call before the peers start. */
 void mt_heartbeat_set_proxied (struct mt_heartbeat *heartbeat, struct mt_proxied *proxied);
-/* Call once neither peers nor pools are called any more, and before the pools are destroyed. */
+/* Call when neither peers nor pools are called any more, and before the pools are destroyed. */
 void mt_heartbeat_destroy (struct mt_heartbeat *heartbeat);
-/* For mt_peers_options; their ctx is the heartbeat. */
+/* Returns the callbacks for mt_peers_options; their ctx is the mt_heartbeat. */
 const struct mt_peers_callbacks *mt_heartbeat_callbacks (void);
 
 #endif
--- a/daemon/instances.h
+++ b/daemon/instances.h
@@ -15,6 +15,7 @@
 void mt_instances_destroy (struct mt_instances *list);
 /* Returns the instances sorted by name, as the planner requires; valid as long as the list. */
 const struct mt_planner_instance *mt_instances_all (const struct mt_instances *list, size_t *n);
+/* Returns NULL if the instance is not listed; otherwise valid as long as the list. */
 const struct mt_planner_instance *mt_instances_find (const struct mt_instances *list,
                                                      const char *name);
 /* Whether the platform reports the instance as permanently gone. One that is not listed does not
--- a/daemon/jobs_runner.h
+++ b/daemon/jobs_runner.h
@@ -37,7 +37,7 @@
   void *ctx;
 };
 
-/* Starts the thread. */
+/* Starts the thread. The objects that the options name outlive the runner. */
 struct mt_jobs_runner *mt_jobs_runner_create (const struct mt_jobs_runner_options *options);
 /* Stops the thread; afterwards the callbacks are not called any more. */
 void mt_jobs_runner_stop (struct mt_jobs_runner *runner);
--- a/daemon/peers.h
+++ b/daemon/peers.h
@@ -38,7 +38,7 @@
 void mt_peers_add_document (struct mt_peers *peers, const struct mt_document *document, void *ctx);
 /* Starts the heartbeats. The server may be started afterwards. */
 void mt_peers_start (struct mt_peers *peers);
-/* Notifies all members that this daemon takes no new work. Heartbeats continue. */
+/* Notifies all members that this daemon accepts no new work. Heartbeats continue. */
 void mt_peers_leave (struct mt_peers *peers);
 /* Stops the threads. Destroy the server first, since its handlers use the peers. */
 void mt_peers_destroy (struct mt_peers *peers);
@@ -46,6 +46,7 @@
 /* Sends a heartbeat at once, instead of at the next interval, because a version changed. ctx is the
  * mt_peers: the function is a view listener. */
 void mt_peers_trigger_heartbeat (void *ctx);
+/* Sets the loads and demands that this daemon's heartbeats report. */
 void mt_peers_set_loads (struct mt_peers *peers,
                          const struct mt_member_load *loads,
                          size_t n_loads,
@@ -53,9 +54,9 @@
                          size_t n_demands);
 /* Adds addresses at which daemons may be found, such as those in the platform's list. */
 void mt_peers_add_addresses (struct mt_peers *peers, const char *const *addresses, size_t n);
-/* Traffic between this daemon and the others so far, in both directions. */
+/* Returns the traffic between this daemon and the others so far, in both directions. */
 struct mt_peer_traffic mt_peers_traffic (const struct mt_peers *peers);
-/* IP:PORT that other daemons call; valid as long as the peers. */
+/* Returns the IP:PORT that other daemons call; valid as long as the peers. */
 const char *mt_peers_address (const struct mt_peers *peers);
 
 /* Calls visit for each member that is alive now, this daemon included, under the membership's lock:
@@ -68,12 +69,12 @@
 void mt_peers_each_known (struct mt_peers *peers,
                           void (*visit) (void *ctx, const struct mt_member *member),
                           void *ctx);
-/* Number of live members in this daemon's data centre, itself included; at least 1. */
+/* Returns the number of live members in this daemon's data centre, itself included; at least 1. */
 unsigned mt_peers_count_in_zone (struct mt_peers *peers);
 /* Whether the member is known and sent a heartbeat within the suspicion time. */
 bool mt_peers_is_alive (struct mt_peers *peers, const char *name);
-/* Calls a member by name. Errors as mt_peer_client_call; MT_ERROR_UNAVAILABLE if the member is
- * unknown. */
+/* Calls a member by name; blocks. Reply and errors as for mt_peer_client_call;
+ * MT_ERROR_UNAVAILABLE also if the member is unknown. */
 bool mt_peers_call (struct mt_peers *peers,
                     const char *name,
                     enum mt_peer_type type,
--- a/daemon/pools.h
+++ b/daemon/pools.h
@@ -12,10 +12,12 @@
 struct mt_pools;
 struct mt_slot;
 
+/* clock and views outlive the pools. */
 struct mt_pools *
 mt_pools_create (const struct mt_clock *clock, struct mt_view_holder *views, const char *zone);
+/* Call when all slots are released. pools may be NULL. */
 void mt_pools_destroy (struct mt_pools *pools);
-/* Updates the dispatchers from the view in force. A view listener; ctx is the mt_pools. */
+/* Updates the dispatchers from the view in force. For mt_view_add_listener; ctx is the mt_pools. */
 void mt_pools_refresh (void *ctx);
 
 struct mt_slot_request
@@ -24,7 +26,7 @@
   uint64_t audience;
   int64_t deadline_us;
   unsigned queue_limit;
-  const char *avoid;
+  const char *avoid; /* minion that failed the previous attempt, or NULL */
   bool is_retry;
 };
 
@@ -38,26 +40,27 @@
   MT_SLOT_RETRY_BUDGET,
 };
 
-/* Waits until the dispatcher grants a slot in the pool, which sets *out, or refuses it. */
+/* Blocks until the dispatcher grants a slot in the pool, which sets *out, or refuses it. A granted
+ * slot is to be released with mt_slot_release. */
 enum mt_slot_result mt_pools_acquire_slot (struct mt_pools *pools,
                                            const struct mt_slot_request *request,
                                            struct mt_slot **out);
-/* Valid until the slot is released. */
+/* Returns the minion's name; valid until the slot is released. */
 const char *mt_slot_minion (const struct mt_slot *slot);
+/* Returns the minion's IP:PORT; valid until the slot is released. */
 const char *mt_slot_address (const struct mt_slot *slot);
-/* Epoch of the assignment record by which the minion serves the pool. */
+/* Returns the epoch of the assignment record by which the minion serves the pool. */
 uint64_t mt_slot_epoch (const struct mt_slot *slot);
-/* Maximum number of connections that this daemon may hold to the minion. */
+/* Returns the maximum number of connections that this daemon may hold to the minion. */
 unsigned mt_slot_max_connections (const struct mt_slot *slot);
 /* Whether the slot was not granted at once. */
 bool mt_slot_has_waited (const struct mt_slot *slot);
-/* Marks the slot's minion as leaving; to be called when the minion itself reports that it leaves.
- */
+/* Marks the slot's minion as leaving. Call when the minion itself reports that it leaves. */
 void mt_slot_set_leaving (struct mt_slot *slot);
 /* Returns the slot to the pool and frees it. */
 void mt_slot_release (struct mt_slot *slot, enum mt_dispatch_result result);
 
-/* Estimated time to serve the pool's current queue, in us; 0 for an unknown pool. */
+/* Returns the estimated time to serve the pool's current queue, in us; 0 for an unknown pool. */
 int64_t mt_pools_backlog_us (struct mt_pools *pools, const char *name);
 
 /* Sets this daemon's share and the requests that the other daemons have in flight. The pools use
--- a/daemon/proxied.h
+++ b/daemon/proxied.h
@@ -11,6 +11,7 @@
 
 struct mt_proxied;
 
+/* views outlive the object. */
 struct mt_proxied *mt_proxied_create (struct mt_view_holder *views, const char *zone);
 void mt_proxied_destroy (struct mt_proxied *proxied);
 /* Adds a daemon. Call before reading the document that it is sent. Returns false if it must not get
@@ -23,7 +24,7 @@
 void mt_proxied_each_draining (struct mt_proxied *proxied,
                                void (*visit) (void *ctx, const char *instance, unsigned in_flight),
                                void *ctx);
-/* Number of daemons whose key is missing. */
+/* Returns the number of daemons whose key is missing. */
 unsigned mt_proxied_count (struct mt_proxied *proxied);
 
 #endif
--- a/daemon/registry.h
+++ b/daemon/registry.h
@@ -11,14 +11,14 @@
 
 struct mt_registry;
 
-/* store and peers outlive the registry. */
+/* Starts the thread. store, clock and peers outlive the registry. */
 struct mt_registry *mt_registry_create (const struct mt_store *store,
                                         const struct mt_clock *clock,
                                         struct mt_peers *peers,
                                         const char *name);
 /* Whether the entry is held under a lease, as far as this daemon knows. Any thread. */
 bool mt_registry_is_held (const struct mt_registry *registry);
-/* Removes the entry if the platform answers. */
+/* Stops the thread, and removes the entry if the platform answers. */
 void mt_registry_destroy (struct mt_registry *registry);
 
 #endif
--- a/daemon/shares.h
+++ b/daemon/shares.h
@@ -11,12 +11,13 @@
 /* self: name of this daemon. */
 struct mt_shares *mt_shares_create (const char *self);
 void mt_shares_destroy (struct mt_shares *shares);
-/* Adds one live member. For mt_peers_each_alive; ctx is the shares. */
+/* Adds one live member. For mt_peers_each_alive; ctx is the mt_shares. */
 void mt_shares_add_member (void *ctx, const struct mt_member *member);
 
+/* Returns this daemon's share among the members added so far. */
 struct mt_share mt_shares_own_share (const struct mt_shares *shares);
 /* Returns the number of requests that the other daemons have in flight on the minion. For
- * mt_dispatch_set_share; ctx is the shares. */
+ * mt_dispatch_set_share; ctx is the mt_shares. */
 unsigned mt_shares_in_flight_elsewhere (void *ctx, const char *minion);
 
 #endif
--- a/daemon/view.h
+++ b/daemon/view.h
@@ -15,7 +15,7 @@
 typedef void (*mt_view_listener) (void *ctx);
 
 struct mt_view_holder *mt_view_holder_create (const struct mt_clock *clock);
-/* Call once there are no readers any more. */
+/* Call when there are no readers any more. */
 void mt_view_holder_destroy (struct mt_view_holder *holder);
 /* Adds a listener that applies changes: a change is in force once all of them have returned. Call
  * before threads start. */
@@ -37,6 +37,7 @@
 /* Starts a read and returns the tables in force, NULL before the first. The thread must not block
  * until mt_view_end. */
 const struct mt_tables *mt_view_begin (const struct mt_view_holder *holder);
+/* Ends the read; the returned pointers are no longer valid. */
 void mt_view_end (void);
 /* Returns the assignment document in force; call between mt_view_begin and mt_view_end. NULL before
  * the first document: no instance serves then. */
@@ -47,9 +48,10 @@
  * confirmed. */
 uint64_t mt_view_assign_in_force (const struct mt_view_holder *holder);
 
-/* Version of the tables in force; 0 before the first. */
+/* Returns the version of the tables in force; 0 before the first. */
 uint64_t mt_view_version (const struct mt_view_holder *holder);
-/* Time since the version was last known to be the newest, in us; -1 before the first tables. */
+/* Returns the time since the version was last known to be the newest, in us; -1 before the first
+ * tables. */
 int64_t mt_view_age_us (const struct mt_view_holder *holder);
 
 #endif
--- a/net/frame.h
+++ b/net/frame.h
@@ -19,10 +19,11 @@
 /* Returns header and payload in one block, to be freed with g_free; NULL if the frame would exceed
  * MT_PEER_MAX_FRAME_BYTES. */
 char *mt_frame_encode (unsigned type, struct mt_str sender, struct mt_str body, size_t *len);
-/* Reads the payload's length. MT_ERROR_LIMIT if it is 0 or the frame exceeds
+/* Reads the payload's length. Errors: MT_ERROR_LIMIT if it is 0 or the frame exceeds
  * MT_PEER_MAX_FRAME_BYTES. */
 bool mt_frame_length (const char header[MT_FRAME_HEADER_BYTES], size_t *len, GError **error);
-/* Decodes a payload, without the header. MT_ERROR_SYNTAX or MT_ERROR_LIMIT if it is malformed. */
+/* Decodes a payload, without the header. Errors: MT_ERROR_SYNTAX or MT_ERROR_LIMIT if it is
+ * malformed. */
 bool mt_frame_decode (struct mt_str payload, struct mt_frame *out, GError **error);
 
 #endif
--- a/net/http_calls.h
+++ b/net/http_calls.h
@@ -54,12 +54,13 @@
 struct mt_calls *mt_calls_create (struct event_base *base, struct mt_traffic *traffic);
 /* Completes the pending calls without an answer, by their callbacks. */
 void mt_calls_destroy (struct mt_calls *calls);
-/* done is called exactly once, never before the function has returned. */
+/* Starts or queues the call. done is called exactly once, never before the function has
+ * returned. */
 void
 mt_calls_send (struct mt_calls *calls, const struct mt_call *call, mt_call_done done, void *ctx);
 /* Closes the idle connections to an address. */
 void mt_calls_close_idle (struct mt_calls *calls, const char *address);
-/* Number of connections opened so far. */
+/* Returns the number of connections opened so far. */
 uint64_t mt_calls_connections_opened (const struct mt_calls *calls);
 
 #endif
--- a/net/http_check.h
+++ b/net/http_check.h
@@ -5,11 +5,11 @@
 
 #include "medlartrack/str.h"
 
-/* True for a valid method or header name. */
+/* Whether s is a valid method or header name. */
 bool mt_http_is_token (struct mt_str s);
-/* True for a valid header value. */
+/* Whether s is a valid header value. */
 bool mt_http_is_header_value (struct mt_str s);
-/* True for a valid path with query. */
+/* Whether s is a valid path with query. */
 bool mt_http_is_request_target (struct mt_str s);
 
 #endif
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -47,10 +47,11 @@
 struct mt_http_client;
 
 struct mt_http_client *mt_http_client_create (const struct mt_clock *clock);
+/* Call when no call is in progress. Closes the connections. client may be NULL. */
 void mt_http_client_destroy (struct mt_http_client *client);
 
-/* address is IP:PORT. The answer is allocated in the arena. error is set unless the outcome is
- * MT_HTTP_COMPLETE. */
+/* Makes one call to address, which is IP:PORT. The answer is allocated in the arena. error is set
+ * unless the outcome is MT_HTTP_COMPLETE. */
 enum mt_http_outcome mt_http_client_call (struct mt_http_client *client,
                                           const char *address,
                                           const struct mt_http_call *call,
--- a/net/http_connections.h
+++ b/net/http_connections.h
@@ -19,12 +19,13 @@
 /* limit_us: time limit from one answer to the next complete request, and for sending an answer. */
 struct mt_http_connections *mt_http_connections_create (const struct mt_clock *clock,
                                                         int64_t limit_us);
-/* All connections must have been removed. */
+/* Call when all connections have been removed. */
 void mt_http_connections_destroy (struct mt_http_connections *connections);
 
+/* Adds an idle connection. The returned object is freed by mt_http_connections_remove. */
 struct mt_http_connection *mt_http_connections_add (struct mt_http_connections *connections,
                                                     int fd);
-/* Must be called before the connection's descriptor is closed. */
+/* Removes and frees the connection. Call before its descriptor is closed. */
 void mt_http_connections_remove (struct mt_http_connections *connections,
                                  struct mt_http_connection *connection);
 void mt_http_connections_set_phase (struct mt_http_connections *connections,
--- a/net/http_front.h
+++ b/net/http_front.h
@@ -19,12 +19,12 @@
 
 const char *mt_exchange_method (const struct mt_exchange *exchange);
 const char *mt_exchange_path (const struct mt_exchange *exchange);
-/* Returns NULL if the request has no such header. */
+/* Returns the value of a header; NULL if there is none of that name. */
 const char *mt_exchange_header (const struct mt_exchange *exchange, const char *name);
-/* Returns a query argument; NULL if there is none of that name. */
+/* Returns the value of a query argument; NULL if there is none of that name. */
 const char *mt_exchange_query (const struct mt_exchange *exchange, const char *name);
 struct mt_str mt_exchange_body (const struct mt_exchange *exchange);
-/* When the request began to arrive, in ms of the monotonic clock. */
+/* Returns when the request began to arrive, in ms of the monotonic clock. */
 int64_t mt_exchange_started_ms (const struct mt_exchange *exchange);
 
 /* Answers the request, which ends the exchange. body is copied. retry_after_s: 0 for none. */
@@ -48,15 +48,16 @@
   void *ctx;
 };
 
+/* Starts listening. Errors: MT_ERROR_SETTINGS if it can't listen on the address. */
 struct mt_http_front *mt_http_front_create (struct event_base *base,
                                             const struct mt_http_front_options *options,
                                             GError **error);
 unsigned mt_http_front_port (const struct mt_http_front *front);
 /* Adds "Connection: close" to every answer from now on. */
 void mt_http_front_close_after_answers (struct mt_http_front *front);
-/* Number of requests not answered yet, or whose answer is not fully sent. */
+/* Returns the number of requests not answered yet, or whose answer is not fully sent. */
 unsigned mt_http_front_in_flight (const struct mt_http_front *front);
-/* Answers pending requests with 503. */
+/* Answers pending requests with 503 and closes all connections. front may be NULL. */
 void mt_http_front_destroy (struct mt_http_front *front);
 
 #endif
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -20,7 +20,7 @@
   int fd;                       /* of the connection */
 };
 
-/* True if the caller has closed or reset its connection. False if it only shut down its sending
+/* Whether the caller has closed or reset its connection; false if it only shut down its sending
  * side, as a caller may after its request. */
 bool mt_http_request_is_aborted (const struct mt_http_request *request);
 
@@ -40,6 +40,7 @@
 
 struct mt_http_server;
 
+/* Starts listening. Errors: MT_ERROR_SETTINGS if it can't listen on the address. */
 struct mt_http_server *mt_http_server_create (const struct mt_http_server_options *options,
                                               GError **error);
 unsigned mt_http_server_port (const struct mt_http_server *server);
@@ -47,7 +48,7 @@
  * not noticed yet; every answer has "Connection: close". Then closes the listener and idle
  * connections, and returns once the last answer in flight is sent. */
 void mt_http_server_stop (struct mt_http_server *server, int64_t linger_us);
-/* Closes all connections. The server must have been stopped. */
+/* Closes all connections. Call mt_http_server_stop first. server may be NULL. */
 void mt_http_server_destroy (struct mt_http_server *server);
 
 #endif
--- a/net/mesh.h
+++ b/net/mesh.h
@@ -37,7 +37,7 @@
 /* A received call; valid until it is replied to. */
 struct mt_mesh_call;
 
-/* Name of the method in the traffic counters. */
+/* Returns the method's name in the traffic counters. */
 const char *mt_mesh_method_name (enum mt_mesh_method method);
 
 typedef void (*mt_mesh_handler) (void *ctx,
@@ -47,8 +47,9 @@
 /* args is NULL if there was no reply: the call was not delivered, or not answered in time. */
 typedef void (*mt_mesh_done) (void *ctx, const struct mt_mesh_args *args);
 
-/* address: IP:PORT to listen on. name: of this daemon in its frames. traffic: counters of what is
- * sent and received; NULL for none. */
+/* Starts listening. address: IP:PORT. name: of this daemon in its frames. traffic: counters of what
+ * is sent and received; NULL for none. Errors: MT_ERROR_SETTINGS if it can't listen on the
+ * address. */
 struct mt_mesh *mt_mesh_create (struct event_base *base,
                                 struct mt_traffic *traffic,
                                 const char *address,
@@ -60,8 +61,8 @@
 void mt_mesh_destroy (struct mt_mesh *mesh);
 unsigned mt_mesh_port (const struct mt_mesh *mesh);
 
-/* done is called exactly once, never before the function has returned; NULL for a notification
- * without reply. */
+/* Sends a call. done is called exactly once, never before the function has returned; NULL for a
+ * notification without reply. */
 void mt_mesh_send (struct mt_mesh *mesh,
                    const char *address,
                    enum mt_mesh_method method,
--- a/net/peer.h
+++ b/net/peer.h
@@ -26,7 +26,7 @@
   MT_PEER_TYPES = 16,
 };
 
-/* Answers one frame, in a thread of the server. Returns a malloced reply, which the server frees;
+/* Answers one frame, in a thread of the server. Returns a reply, which the server frees with free;
  * NULL closes the connection. */
 typedef char *(*mt_peer_handler) (void *ctx,
                                   struct mt_str sender,
@@ -34,16 +34,19 @@
                                   size_t *reply_len);
 
 struct mt_peer_server;
-/* name: sender of the frames of this process. */
+/* Starts listening; calls are answered after mt_peer_server_start. name: sender of the frames of
+ * this process. Errors: MT_ERROR_SETTINGS if the address is malformed, MT_ERROR_UNAVAILABLE if it
+ * can't be listened on. */
 struct mt_peer_server *
 mt_peer_server_create (const char *address, const char *name, GError **error);
-/* Must be called before mt_peer_server_start. */
+/* Sets the handler of a frame type. Call before mt_peer_server_start. */
 void mt_peer_server_set_handler (struct mt_peer_server *server,
                                  enum mt_peer_type type,
                                  mt_peer_handler handler,
                                  void *ctx);
 void mt_peer_server_start (struct mt_peer_server *server);
 unsigned mt_peer_server_port (const struct mt_peer_server *server);
+/* Waits for running and queued handlers, then closes all connections. server may be NULL. */
 void mt_peer_server_destroy (struct mt_peer_server *server);
 
 /* Bytes of frames so far, with their headers but without the overhead of TCP. */
@@ -60,11 +63,12 @@
  * may call. */
 struct mt_peer_client;
 struct mt_peer_client *mt_peer_client_create (const struct mt_clock *clock, const char *name);
+/* Call when no call is in progress. client may be NULL. */
 void mt_peer_client_destroy (struct mt_peer_client *client);
 struct mt_peer_traffic mt_peer_client_traffic (const struct mt_peer_client *client);
-/* reply is malloced, to be freed by the caller. MT_ERROR_UNAVAILABLE: not delivered;
- * MT_ERROR_UNKNOWN: sent, but no complete reply was received; MT_ERROR_LIMIT: body too long for a
- * frame. */
+/* Makes one call and sets *reply, to be freed with free. Errors: MT_ERROR_UNAVAILABLE: not
+ * delivered; MT_ERROR_UNKNOWN: sent, but no complete reply was received; MT_ERROR_LIMIT: body too
+ * long for a frame. */
 bool mt_peer_client_call (struct mt_peer_client *client,
                           const char *address,
                           enum mt_peer_type type,
--- a/net/platform.h
+++ b/net/platform.h
@@ -16,11 +16,12 @@
                                         const char *address,
                                         int64_t call_us);
 void mt_platform_destroy (struct mt_platform *platform);
-/* Both are owned by the platform. The store's calls go through the breaker: while the service is
+/* Returns the store; owned by the platform. Its calls go through the breaker: while the service is
  * known to be down they fail at once. */
 const struct mt_store *mt_platform_store (struct mt_platform *platform);
+/* Returns the breaker in front of the store; owned by the platform. */
 struct mt_breaker *mt_platform_breaker (struct mt_platform *platform);
-/* Number of calls made so far; a watch counts as one. */
+/* Returns the number of calls made so far; a watch counts as one. */
 uint64_t mt_platform_calls (const struct mt_platform *platform);
 
 #endif
--- a/net/traffic.h
+++ b/net/traffic.h
@@ -24,10 +24,10 @@
 /* kind: a constant string, which is not copied. If traffic or kind is NULL, nothing is counted. */
 void mt_traffic_add_sent (struct mt_traffic *traffic, const char *kind, size_t bytes);
 void mt_traffic_add_received (struct mt_traffic *traffic, const char *kind, size_t bytes);
-/* Sum of all kinds. */
+/* Returns the sum of all kinds. */
 struct mt_traffic_row mt_traffic_total (const struct mt_traffic *traffic);
-/* Returns the number of rows, and the rows in the order in which their kinds first occurred; valid
- * until the next message is counted. */
+/* Returns the number of rows and sets *rows to them, in the order in which their kinds first
+ * occurred; valid until the next message is counted. */
 size_t mt_traffic_rows (const struct mt_traffic *traffic, const struct mt_traffic_row **rows);
 
 #endif
--- a/net/workers.h
+++ b/net/workers.h
@@ -36,19 +36,22 @@
 
 struct mt_workers;
 
+/* address: IP:PORT of the service. call_us: time limit of each call except polls. client and clock
+ * outlive the workers. */
 struct mt_workers *mt_workers_create (struct mt_http_client *client,
                                       const struct mt_clock *clock,
                                       const char *address,
                                       const char *zone,
                                       int64_t call_us);
 void mt_workers_destroy (struct mt_workers *workers);
-/* Returns the changes since index (0: everything); waits up to wait_us for a change. The updates
- * are to be cleared in either case. */
+/* Sets *updates to the changes since index (0: everything); waits up to wait_us for a change. The
+ * updates are to be cleared on failure too. */
 bool mt_workers_poll (struct mt_workers *workers,
                       uint64_t index,
                       int64_t wait_us,
                       struct mt_workers_updates *updates,
                       GError **error);
+/* Frees the contents of the updates. */
 void mt_workers_updates_clear (struct mt_workers_updates *updates);
 /* actions: of struct mt_job_action. On failure some or all may not have reached their workers;
  * mt_jobs repeats the actions that are not confirmed. */
