--- a/core/jobs/events.c
+++ b/core/jobs/events.c
@@ -183,5 +183,5 @@
   worker->lease_lost = false;
   worker->lease_lost_us = 0;
   for (guint i = worker->tasks->len; i-- > 0;)
-    retry_or_end (jobs, worker->tasks->pdata[i], "crashed");
+    retry_or_end (jobs, worker->tasks->pdata[i], "took down");
 }
--- a/daemon/answer.c
+++ b/daemon/answer.c
@@ -28,8 +28,8 @@
     .status = not_run ? 503 : 504,
     .headers = (struct mt_http_header *) (not_run ? not_run_headers : unknown_headers),
     .n_headers = G_N_ELEMENTS (unknown_headers),
-    .body = not_run ? MT_STR ("{\"outcome\":\"not-run\",\"reason\":\"out of request memory\"}\n")
-                    : MT_STR ("{\"outcome\":\"unknown\",\"reason\":\"out of request memory\"}\n"),
+    .body = not_run ? MT_STR ("{\"outcome\":\"not-run\",\"reason\":\"request memory\"}\n")
+                    : MT_STR ("{\"outcome\":\"unknown\",\"reason\":\"request memory\"}\n"),
   };
 }
 
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -247,13 +247,13 @@
     {
     case MT_SLOT_NO_POOL:
     case MT_SLOT_NO_MINION:
-      return "no minion of the pool accepts requests from this daemon";
+      return "the pool has no minion here that takes work";
     case MT_SLOT_QUEUE_FULL:
       mt_counters_add (counters, MT_COUNTER_REFUSED_QUEUE, 1);
-      return "the pool's queue is full";
+      return "the queue is full";
     case MT_SLOT_TOO_LATE:
       mt_counters_add (counters, MT_COUNTER_REFUSED_LATE, 1);
-      return "the request could not be answered by its deadline";
+      return "it could not be answered by its deadline";
     case MT_SLOT_RETRY_BUDGET:
       mt_counters_add (counters, MT_COUNTER_REFUSED_BUDGET, 1);
       return "a minion failed, and the retry budget is spent";
@@ -316,7 +316,7 @@
     {
       attempts->reason = g_error_matches (error, MT_ERROR, MT_ERROR_TIMEOUT)
                              ? "no answer by the deadline"
-                             : "the minion's answer was missing or incomplete";
+                             : "no whole answer came from the minion";
       return ATTEMPT_UNKNOWN;
     }
   if (!is_refusal (&request->answer))
@@ -378,7 +378,7 @@
                   enum mt_claim_result result,
                   int status)
 {
-  g_autofree char *done = g_strdup_printf ("the request already ran and was answered %d", status);
+  g_autofree char *done = g_strdup_printf ("it ran already and was answered %d", status);
   struct mt_answer_typed typed = { .status = 409, .outcome = "duplicate" };
 
   switch (result)
@@ -396,8 +396,7 @@
       break;
     default:
       typed = (struct mt_answer_typed){
-        409, "unknown",
-        "the key's date is too far in the past or future to tell whether the request ran", 0
+        409, "unknown", "the key's date is too long ago or ahead to tell whether it ran", 0
       };
       break;
     }
@@ -425,7 +424,7 @@
                        &(struct mt_answer_typed){
                            400, "not-run",
                            "this route needs an Idempotency-Key header of 1 to 256 bytes, "
-                           "unique to each request and the same when it is sent again",
+                           "one for each request and the same when it is sent again",
                            0 });
       return false;
     }
@@ -433,7 +432,7 @@
   if (result == MT_CLAIM_GRANTED)
     return true;
   if (result == MT_CLAIM_UNAVAILABLE)
-    refuse_not_run (front, request, routing, "the request's key could not be claimed in time");
+    refuse_not_run (front, request, routing, "its key could not be claimed in time");
   else
     answer_duplicate (front, request, routing, result, claim->status);
   return false;
@@ -490,9 +489,8 @@
   if (!routed)
     {
       mt_counters_add (front->options.counters, MT_COUNTER_NOT_RUN, 1);
-      mt_answer_typed (
-          request, routing.id,
-          &(struct mt_answer_typed){ 404, "not-run", "no route matches the method and path", 0 });
+      mt_answer_typed (request, routing.id,
+                       &(struct mt_answer_typed){ 404, "not-run", "no route leads there", 0 });
       return;
     }
   if (routing.repeat == MT_REPEAT_NEVER && !acquire_claim (front, request, &routing, &claim))
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -218,7 +218,7 @@
       || !mt_http_is_request_target (request->path))
     return "malformed request line or header";
   if (has_ambiguous_length (collector) || (length.data != NULL && !mt_str_to_u64 (length, &bytes)))
-    return "the body's length is ambiguous; send one Content-Length or a chunked body";
+    return "the length of the body is not clear; send one Content-Length or chunks";
   *status = 413;
   if (bytes > server->options.max_body_bytes)
     return "body too long; see limits.body_bytes";
