--- a/core/scheduler/admission.c
+++ b/core/scheduler/admission.c
@@ -3,14 +3,14 @@
 #include <glib.h>
 #include <math.h>
 
-/* Weight of each batch in the mean: a store that becomes slow shows after about three batches, and
- * one slow answer causes no refusals. */
+/* Weight of the last batch in batch_ms: a slower store shows after about three batches, while a
+ * single slow answer causes no refusals. */
 #define BATCH_WEIGHT (1.0 / 4)
 
 struct mt_admission
 {
   struct mt_admission_settings settings;
-  double batch_ms; /* recent mean; 0: no batch stored yet */
+  double batch_ms; /* recent mean time to store a batch; 0: none stored yet */
 };
 
 struct mt_admission *
--- a/core/scheduler/leader_rank.c
+++ b/core/scheduler/leader_rank.c
@@ -2,14 +2,15 @@
 
 #include <glib.h>
 
-/* A pool's leader needs a processor in a surge: with a quarter of the other machines' cores it was
- * half a second behind. Smaller differences don't affect the rank. */
+/* A machine with this many times the cores of another one ranks before it; smaller differences
+ * don't matter. In a surge a pool's leader needs a processor: with a quarter of the other machines'
+ * cores it was half a second behind. */
 #define MIN_CORES_RATIO 1.5
 
 /* Delay per rank before a daemon takes a free leadership. */
 #define RANK_DELAY_MS 120
-/* Time after joining for the others to appear: daemons that all lost their keys rejoin within
- * this. */
+/* Time after joining in which the other daemons appear: if all of them have lost their keys, they
+ * rejoin within this time. */
 #define JOIN_DELAY_MS 350
 
 static guint
--- a/core/scheduler/scheduler.c
+++ b/core/scheduler/scheduler.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A job that is older than this when it is submitted here does not count as an arrival. */
+/* A job that is older than this when it reaches the scheduler does not count as an arrival. */
 #define MAX_ARRIVAL_AGE_MS 1000
 
 const char *const mt_job_state_names[] = {
@@ -279,8 +279,8 @@
   mt_occurrence_set_objective (occ);
 }
 
-/* Opens occurrences whose scheduled time has come. The owner has to smooth jumps of the wall
- * clock. */
+/* Opens the occurrences whose scheduled time has come. The owner has to smooth out jumps of the
+ * wall clock. */
 void
 mt_scheduler_open_due_occurrences (struct mt_scheduler *sched, int64_t now, int64_t wall)
 {
@@ -329,7 +329,7 @@
   job = g_new0 (struct mt_job, 1);
   job->spec = spec;
   job->route = find_or_create_route (sched, spec->route);
-  job->account = mt_scheduler_account (sched, spec->workspace);
+  job->account = mt_scheduler_get_account (sched, spec->workspace);
   job->n_occurrences = spec->repeats > 0 ? spec->repeats : 1;
   job->occurrences = g_new0 (struct mt_occurrence *, job->n_occurrences);
   job->submitted_at = now - age;
@@ -348,7 +348,7 @@
   return true;
 }
 
-/* Stops every run of an ended job. Its waiting tasks will never start. */
+/* Stops every run of an ended job. The job's waiting tasks will never start. */
 void
 mt_job_stop_tasks (struct mt_scheduler *sched, struct mt_job *job, int64_t now)
 {
@@ -357,8 +357,8 @@
       mt_task_stop (sched, &job->occurrences[k]->tasks[i], now);
 }
 
-/* The times are reported for jobs with one occurrence only: several occurrences have no common
- * figure. */
+/* Objective, shortage and reruns are logged only for jobs with one occurrence: several occurrences
+ * have no common figure. */
 static void
 log_job_end (struct mt_scheduler *sched, const struct mt_job *job, int64_t now)
 {
@@ -419,7 +419,7 @@
   if (job == NULL)
     return false;
   mt_job_end (sched, job, MT_JOB_CANCELLED, now);
-  /* The cancellation is stored already. */
+  /* The cancellation itself is stored already. */
   if (job->state == MT_JOB_CANCELLED)
     job->durable_state = MT_JOB_CANCELLED;
   return true;
--- a/core/scheduler/scheduler_accounts.c
+++ b/core/scheduler/scheduler_accounts.c
@@ -1,17 +1,18 @@
 /* Workspace quotas: the resources that each workspace may use in all pools together.
  *
- * Different daemons place the pools' tasks at the same time, and a workspace's jobs arrive at one
- * pool in a surge. Each pool keeps to the share of the quota that the fleet's leader grants it and
- * takes back (grants.c). */
+ * Different daemons place the tasks of the pools at the same time, and in a surge a workspace's
+ * jobs arrive at one pool. Each pool stays within the share of the quota that the fleet's leader
+ * grants it and later takes back (grants.c). */
 #include "scheduler_internal.h"
 
-/* A workspace may submit this many seconds of its rate at once. */
+/* Burst: a workspace may submit this many seconds of its rate at once. */
 #define BURST_S 1
-/* Fraction of an even share that a pool may use before its first grant. All pools together then
- * stay within the overrun that operators allow for. */
+/* Fraction of an even share that a pool may use before its first grant. It keeps all pools together
+ * within the overrun that operators allow for. */
 #define INITIAL_SHARE 0.1
-/* How long that fraction applies. By then the granting leader has missed this pool for a while, and
- * other pools' tasks beyond their shares have ended. */
+/* How long INITIAL_SHARE applies, after which a pool without a grant gets its even share. By then
+ * the granting leader has not heard from this pool for a while, and the tasks of other pools beyond
+ * their shares have ended. */
 #define INITIAL_SHARE_MS 4000
 
 void
@@ -24,7 +25,7 @@
 }
 
 struct mt_account *
-mt_scheduler_account (struct mt_scheduler *sched, const char *workspace)
+mt_scheduler_get_account (struct mt_scheduler *sched, const char *workspace)
 {
   struct mt_account *account;
 
@@ -39,8 +40,8 @@
   return account;
 }
 
-/* All pools scale their shares down by the same ratio, whether or not the fleet's leader can reach
- * them. */
+/* Scales the grant down with the quota. All pools do so by the same ratio, whether or not the
+ * fleet's leader can reach them. */
 static void
 shrink_share (struct mt_account *account, const struct mt_resources *quota, unsigned i)
 {
@@ -57,7 +58,7 @@
                             const char *name,
                             const struct mt_workspace_limits *limits)
 {
-  struct mt_account *account = mt_scheduler_account (sched, name);
+  struct mt_account *account = mt_scheduler_get_account (sched, name);
 
   if (account == NULL)
     return;
@@ -76,8 +77,8 @@
     *mt_resources_field (&account->used, i) += sign * mt_resources_get (&step->need, i);
 }
 
-/* A pool sees only its own jobs, so submissions beyond the rate that are spread over several pools
- * are not counted as such. A surge arrives at one pool at a time. */
+/* Counts the jobs of this pool only: a workspace that spreads its submissions over several pools
+ * can exceed its rate unnoticed. A surge arrives at one pool at a time. */
 bool
 mt_account_record_job (struct mt_account *account, int64_t now)
 {
@@ -101,9 +102,9 @@
   return mt_resources_get (&account->limits.quota, i) / MAX (account->limits.pools, 1U);
 }
 
-/* A pool whose grants have expired keeps no more than an even share: the granting leader relies on
- * that and can give the rest to others. A pool without any grant waits until the others have freed
- * resources for it. */
+/* Returns the part of the quota that the pool may use now. A pool whose grants have expired keeps
+ * no more than an even share: the granting leader relies on this and can give the rest to other
+ * pools. A pool without any grant waits until the other pools have freed resources for it. */
 static int64_t
 share_limit (const struct mt_scheduler *sched,
              const struct mt_account *account,
@@ -146,7 +147,7 @@
 
 /* ---- grants ---- */
 
-/* Grants beyond an even share that have expired are not restored by the next message: other pools
+/* Reduces expired grants to an even share. The next message must not restore them: other pools may
  * have those resources by now. */
 static void
 trim_expired_grants (struct mt_scheduler *sched, int64_t now)
@@ -181,7 +182,7 @@
   sched->grants_until = now + MT_GRANT_LEASE_MS;
   for (size_t i = 0; i < message->n_grants; i++)
     {
-      struct mt_account *account = mt_scheduler_account (sched, message->grants[i].workspace);
+      struct mt_account *account = mt_scheduler_get_account (sched, message->grants[i].workspace);
 
       if (account == NULL)
         continue;
@@ -208,7 +209,7 @@
 }
 
 static void
-add_waiting (const struct mt_occurrence *occ, struct mt_account_view *view)
+add_waiting_tasks (const struct mt_occurrence *occ, struct mt_account_view *view)
 {
   for (unsigned s = 0; s < occ->job->spec->n_steps; s++)
     {
@@ -238,7 +239,7 @@
 
       for (unsigned k = 0; view != NULL && k < job->n_occurrences; k++)
         if (job->occurrences[k] != NULL && !job->occurrences[k]->ended)
-          add_waiting (job->occurrences[k], view);
+          add_waiting_tasks (job->occurrences[k], view);
     }
 }
 
--- a/core/scheduler/scheduler_answers.c
+++ b/core/scheduler/scheduler_answers.c
@@ -10,13 +10,13 @@
 /* A worker that refused a start because of its health, lack of resources or a malformed order takes
  * no work for this long. */
 #define REFUSAL_AVOID_MS 400
-/* Times a start without an answer is resent. On a worker that loses every second start, one in
- * sixteen is still unconfirmed after that. */
+/* Times that a start without an answer is resent. On a worker that loses every second start, one in
+ * sixteen is still unconfirmed after the last retry. */
 #define MAX_START_RETRIES 3
-/* An end is listed at most this long after it. */
+/* Longest time until the end of a run shows in the worker's listing. */
 #define MAX_END_LISTING_MS 100
-/* Interval of holds to idle workers, which read the workers' clocks: 2% of the interval is the
- * error of a lease. */
+/* Interval of holds to idle workers. Their answers give the worker's clock: leases are wrong by up
+ * to 2% of the time since the last reading. */
 #define IDLE_HOLD_INTERVAL_MS 15000
 
 static struct mt_worker *
@@ -63,9 +63,9 @@
   mt_scheduler_log_event (sched, "WORKER_SILENT", "worker=%s tasks=%u", w->id, w->tasks.length);
 }
 
-/* An order got no answer although the worker answers others: this one, and more, may be carried out
- * late. The worker goes on taking work, but holds wait a shorter time, since each lost hold delays
- * the report of all its ends. */
+/* Handles an order without an answer. If the worker has answered others recently, this order and
+ * more may be carried out late: the worker goes on taking work, but holds wait a shorter time,
+ * since each lost hold delays the report of all ends on its worker. */
 static void
 handle_no_answer (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
 {
@@ -95,8 +95,8 @@
   task->state_since = task->begun_at = now;
   task->progress_at = now;
   task->unconfirmed = false;
-  /* The worker may crash the next moment, and this daemon too. The next leader has to know that the
-   * run has begun. */
+  /* The worker and this daemon may both crash at any moment. The next leader has to know that the
+   * suspect's run had begun. */
   if (task->isolated)
     mt_job_mark_dirty (sched, task->occ->job);
   mark_job_begun (sched, task->occ->job, now);
@@ -114,7 +114,7 @@
 
   if (task->state != MT_TASK_RUNNING || run_ms <= 0)
     return;
-  /* On a worker known to be slow, the run time says nothing about the step. */
+  /* On a slow worker the run time does not characterize the step. */
   if (w->slowness < MT_SLOW_FACTOR)
     {
       task->occ->step_ms[task->step] = MAX (task->occ->step_ms[task->step], run_ms);
@@ -122,7 +122,8 @@
     }
   if (expected > 0)
     w->slowness += 0.15 * (run_ms / expected - w->slowness);
-  /* A weight of 1/32 follows a change of load within a surge and forgets a single unusual job. */
+  /* With a weight of 1/32 the mean follows a change of load within a surge, and one unusual job has
+   * little effect on it. */
   route->mean_ms += (route->mean_ms == 0 ? 1.0 : 1.0 / 32) * (run_ms - route->mean_ms);
   route->estimate_ms += (route->estimate_ms == 0 ? 1.0 : 1.0 / 32)
                         * ((double) step->estimate_ms - route->estimate_ms);
@@ -206,10 +207,10 @@
   if (task == NULL || task->state == MT_TASK_DONE)
     return;
   current = task->worker == w && task->run == end->run;
-  mt_task_keep_checkpoint (task, end->checkpoint);
-  /* Completed work counts no matter which run did it. If a different run of the task is active, it
-   * occupies resources until it has ended, so the task is done only then: setting it done sooner
-   * would overbook the worker. */
+  mt_task_set_checkpoint (task, end->checkpoint);
+  /* A task that any of its runs completed is done. If another run of the task is active, the task
+   * is set done only when that run has ended: it occupies resources until then, and the worker
+   * would be overbooked. */
   if (end->kind == MT_END_DONE && !current)
     {
       task->done_elsewhere = true;
@@ -271,9 +272,9 @@
   g_queue_push_tail (&sched->orphaned_runs, orphan);
 }
 
-/* Stops a listed run of an ended job, however it came to be left running, and resends a stop that
- * was acknowledged but has not taken effect. A run that was forgotten once would otherwise never
- * end, since holds renew its lease with those of the worker's other runs. */
+/* Stops a listed run whose job has ended, whatever the cause, and resends a stop that was
+ * acknowledged but has not taken effect. A run that the scheduler has once missed would otherwise
+ * never end, since holds renew its lease with those of the worker's other runs. */
 static void
 stop_unwanted (struct mt_scheduler *sched, struct mt_task *task, int64_t sent, int64_t now)
 {
@@ -300,7 +301,7 @@
       return;
     }
   task->listing = w->listing;
-  mt_task_keep_checkpoint (task, row->checkpoint);
+  mt_task_set_checkpoint (task, row->checkpoint);
   mark_running (sched, task, now);
   if (task->inherited)
     task->predecessor_stop_by = now + sched->settings.stop_grace_ms + MAX_END_LISTING_MS;
@@ -318,8 +319,8 @@
   stop_unwanted (sched, task, sent, now);
 }
 
-/* The worker's listing takes precedence over our state. The run is stopped by name, as the worker
- * may still begin it. */
+/* Stops a task that the worker does not list: the listing takes precedence over the scheduler's
+ * state. A stop is sent all the same, as the worker may still begin the run. */
 static void
 stop_unlisted (
     struct mt_scheduler *sched, struct mt_task *task, const char *why, int64_t sent, int64_t now)
@@ -331,10 +332,10 @@
   mt_task_stop (sched, task, now);
 }
 
-/* Resends a start that was lost or is late. Under the same run number the task can't run twice: the
- * second start to arrive finds the run there. Stopping it instead would end a run that the late
- * start has begun, and the caller would wait for three more calls. A worker that leaves or has
- * shrunk must not start anything, so there the start is stopped. */
+/* Resends a start that was lost or is late. The task can't run twice under the same run number: the
+ * second start to arrive finds the run there. A stop instead would end a run that the late start
+ * has begun, and the caller would wait for three more calls. On a worker that is leaving or has
+ * shrunk, which must not start anything, the start is stopped. */
 static void
 resend_or_stop_start (struct mt_scheduler *sched, struct mt_task *task, int64_t sent, int64_t now)
 {
@@ -362,8 +363,8 @@
   switch (task->state)
     {
     case MT_TASK_ORDERED:
-      /* The worker refuses the previous leader's orders since our first hold, so the run never
-       * started. */
+      /* Since this leader's first hold, the worker refuses the previous leader's orders: the run
+       * has never started. */
       if (task->inherited)
         mt_task_set_waiting (sched, task, now);
       else if (task->unconfirmed)
@@ -425,15 +426,15 @@
       mark_fenced (sched, worker);
       return;
     case MT_ANSWER_OTHER_INCARNATION:
-      mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
+      mt_scheduler_worker_ended (sched, worker, now, "another worker answers at its address");
       return;
     default:
       handle_no_answer (sched, w, now);
       w->next_hold_at = w->lost_holds++ == 0 ? now : now + SILENT_HOLD_RETRY_MS;
       return;
     }
-  /* An answer sent by an earlier incarnation may arrive after the registry has reported the next
-   * one. It says nothing about what runs now. */
+  /* The answer of an earlier incarnation may arrive after the registry has reported the next one.
+   * It says nothing about the runs of the current incarnation. */
   if (report->started_at_ms != 0 && report->started_at_ms < w->started_at)
     {
       w->next_hold_at = now;
@@ -478,9 +479,9 @@
                       int64_t now)
 {
   static const char *const why[] = {
-    [MT_ANSWER_STALE_RUN] = "old run",    [MT_ANSWER_LEASE_EXPIRED] = "late",
-    [MT_ANSWER_NO_RESOURCES] = "no room", [MT_ANSWER_NO_TICKET] = "no ticket",
-    [MT_ANSWER_UNHEALTHY] = "unhealthy",  [MT_ANSWER_MALFORMED] = "unreadable",
+    [MT_ANSWER_STALE_RUN] = "stale run",       [MT_ANSWER_LEASE_EXPIRED] = "lease expired",
+    [MT_ANSWER_NO_RESOURCES] = "no resources", [MT_ANSWER_NO_TICKET] = "no ticket",
+    [MT_ANSWER_UNHEALTHY] = "unhealthy",       [MT_ANSWER_MALFORMED] = "malformed order",
   };
 
   if (answer == MT_ANSWER_NO_RESOURCES || answer == MT_ANSWER_UNHEALTHY
@@ -495,7 +496,8 @@
     }
   task->not_before = now + TASK_RETRY_MS;
   mt_task_log_event (sched, task, w, "START_REFUSED", "why=%s", why[answer]);
-  /* An earlier copy of the start may still arrive and find resources: the task would run twice. */
+  /* After a retry, an earlier copy of the start may still arrive and be accepted, and the task
+   * would run twice if it were placed elsewhere now. */
   if (task->start_retries > 0)
     mt_task_stop (sched, task, now);
   else
@@ -555,7 +557,7 @@
     }
   if (answer == MT_ANSWER_OTHER_INCARNATION)
     {
-      mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
+      mt_scheduler_worker_ended (sched, worker, now, "another worker answers at its address");
       return;
     }
   if (answer == MT_ANSWER_NONE)
--- a/core/scheduler/scheduler_arrivals.c
+++ b/core/scheduler/scheduler_arrivals.c
@@ -3,8 +3,8 @@
 
 #include <math.h>
 
-/* Length of the averaging window: this share of a job's chain length, but not below the minimum. It
- * holds about 25 jobs at the height of a surge. */
+/* Length of the averaging window, as a share of the route's mean chain length, and its minimum. At
+ * the height of a surge about 25 jobs arrive within the window. */
 #define ARRIVAL_WINDOW_SHARE  0.5
 #define MIN_ARRIVAL_WINDOW_MS 600.0
 
@@ -36,7 +36,8 @@
   return sum;
 }
 
-/* A surge shows in arriving work well before it shows in running or waiting work. */
+/* Adds the job's work to its route's rate of arriving work, which shows a surge well before running
+ * or waiting work does. */
 void
 mt_route_record_arrival (const struct mt_job *job, int64_t now)
 {
--- a/core/scheduler/scheduler_crashes.c
+++ b/core/scheduler/scheduler_crashes.c
@@ -1,23 +1,23 @@
 /* Detection of tasks that crash their workers.
  *
- * A crashed worker reports nothing: the only evidence is what it had been given shortly before. A
- * run that its worker survived for a while has settled. The tasks of the other runs become
- * suspects, and run again on workers where no other job's task is started until they have settled.
- * So the tasks that were lost together with the cause of a crash are not lost with it again, and a
- * second crash shows which job caused it. That job is given up: each start of it costs a worker,
- * and all runs there, for seconds. */
+ * A crashed worker reports nothing: the only evidence is which runs it had begun shortly before. A
+ * run has settled once its worker has survived it for a while. When a worker crashes, the tasks of
+ * its unsettled runs become suspects. A suspect runs again in isolation: no other job's task is
+ * started on its worker until it has settled. So the tasks that were lost together with the cause
+ * of a crash are not lost with it again, and a second crash shows which job caused it. That job is
+ * given up: each start of it costs a worker, and all runs there, for seconds. */
 #include "scheduler_internal.h"
 
 /* A run that was observed for this long did not crash its worker. */
 #define SETTLED_MS 500
 /* Workers that become silent within this time of each other may have been lost to one event. */
 #define COINCIDENCE_MS 1000
-/* At least this many of them, and at least one in eight workers, are a general instability that no
- * task causes. */
+/* If at least this many other workers, and at least one in eight, become silent within
+ * COINCIDENCE_MS, the cause is a general instability and not a task. */
 #define MIN_INSTABILITY_LOSSES 3U
 #define INSTABILITY_DIVISOR    8
-/* A task that was lost again although it had settled stays isolated for as long as it had run, up
- * to this. */
+/* A task that was lost again although it had settled is next isolated for as long as it had run, up
+ * to this time. */
 #define MAX_SETTLED_MS 3000
 /* A long-running task observed for this long resets its count of consecutive losses. */
 #define LONG_RUNNING_SETTLED_MS 3000
@@ -26,12 +26,13 @@
 #define MIN_CRASHES 2
 /* Giving up a long-running job stops all of its tasks, so it takes more crashes. */
 #define MIN_CRASHES_LONG_RUNNING 3
-/* This many consecutive losses are no accident, even if each of them may have had another cause. */
+/* This many consecutive losses of a task, MIN_CRASHES of them crashes, are no coincidence even if
+ * each of them may have had another cause. */
 #define SUSPICIOUS_LOSSES 4
 /* A task with this many consecutive losses is given up even if it is not known to have begun. */
 #define MAX_LOSSES 5
-/* A suspect is started only on a worker that has answered within this time: a worker that is
- * already down would count as a second crash. */
+/* A suspect is started only on a worker that has answered within this time: a worker that was
+ * already down would count as a second crash of the suspect. */
 #define MAX_ANSWER_AGE_MS 300
 /* How long a suspect waits for a worker without unsettled runs of other jobs. */
 #define ISOLATION_WAIT_MS 1000
@@ -54,7 +55,7 @@
   return mt_task_observed_ms (task) >= MAX (task->settle_ms, SETTLED_MS);
 }
 
-/* The start was sent. */
+/* Returns whether the start may have been sent. */
 static bool
 may_have_begun (const struct mt_task *task)
 {
@@ -65,8 +66,8 @@
 
 struct other_workers
 {
-  unsigned silent_together; /* at about the same time, without an isolated suspect */
-  unsigned listed;
+  unsigned silent_together; /* became silent within COINCIDENCE_MS, without an isolated suspect */
+  unsigned listed;          /* including the lost worker */
 };
 
 static struct other_workers
@@ -89,15 +90,16 @@
 void
 mt_worker_record_silence (struct mt_worker *w, int64_t now)
 {
-  /* An incarnation that has not answered yet may be delayed by orders sent to the one before it at
-   * the same address. */
+  /* An incarnation that has not answered yet may only be delayed by orders sent to its predecessor
+   * at the same address. */
   if (w->answered_at == 0)
     return;
   w->fell_silent_at = now;
   w->was_isolating = w->isolated_tasks > 0;
 }
 
-/* The job of all unsettled runs; NULL if there are none, or if they belong to several jobs. */
+/* Returns the job of the worker's unsettled runs; NULL if there are none, or if they belong to
+ * several jobs. */
 static const struct mt_job *
 sole_unsettled_job (const struct mt_worker *w)
 {
@@ -132,11 +134,11 @@
 /* The known circumstances of a worker's loss. */
 struct crash
 {
-  bool incarnation_ended;        /* it crashed; otherwise its lease expired, and it may still run */
-  bool with_others;              /* another worker was lost at about the same time */
-  bool in_instability;           /* many were: a rack, a link, or workers that keep restarting */
-  const struct mt_job *sole_job; /* the job of all unsettled runs; NULL: none, or several jobs */
-  bool attributed;               /* ... and that job was isolated there */
+  bool incarnation_ended; /* the worker crashed; otherwise its lease expired and it may run on */
+  bool with_others;       /* another worker became silent at about the same time */
+  bool in_instability;    /* many others did: a rack, a link, workers that keep restarting */
+  const struct mt_job *sole_job; /* job of all unsettled runs; NULL: no such run, or several jobs */
+  bool attributed;               /* sole_job was isolated on the worker */
 };
 
 static bool
@@ -178,16 +180,16 @@
   return (cause && task->crashes >= min_crashes (task)) || is_lost_too_often (task);
 }
 
-/* A worker that left as announced is no evidence against its tasks. But a suspect may have been
- * started there once more. */
+/* Returns whether the worker announced that it would leave and then answered for a while. Its loss
+ * is then no evidence against its tasks. */
 static bool
 has_left_as_announced (const struct mt_worker *w)
 {
   return w->leaving && w->answered_at - w->leaving_since > SETTLED_MS;
 }
 
-/* Counts a loss of a task that may have begun again and of which nothing else is known. Returns
- * true if its job is to be given up. */
+/* Counts a loss of which is only known that the task may have begun. Returns true if the task's job
+ * is to be given up. */
 static bool
 count_unexamined_loss (struct mt_task *task)
 {
@@ -205,7 +207,7 @@
     task->losses = task->crashes = 0;
   if (announced)
     return task->suspect && count_unexamined_loss (task);
-  /* The cause is known: the other jobs' tasks were only on the same worker. */
+  /* The crash is attributed to another job: this task was only on the same worker. */
   if (crash->attributed && crash->sole_job != task->occ->job)
     return count_unexamined_loss (task);
   return count_crash_loss (task, crash);
--- a/core/scheduler/scheduler_cycle.c
+++ b/core/scheduler/scheduler_cycle.c
@@ -1,8 +1,8 @@
-/* Cycles: collect what has changed, let the owner store it, then release the orders that depend on
- * it. Nothing is sent that the next leader would not know of. */
+/* Cycles. A cycle collects the changed jobs, has the owner store them, then releases the orders
+ * that depend on the changes. So no order is sent of which the next leader would not know. */
 #include "scheduler_internal.h"
 
-/* Most ended jobs that are kept once retention_ms has passed: 4,000 of about 2 KB each. */
+/* Most ended jobs that are kept beyond retention_ms; each takes about 2 KB. */
 #define MAX_CLOSED_JOBS 4000
 
 bool
@@ -73,8 +73,8 @@
   return out;
 }
 
-/* Queues the starts that the cycle made durable, unless their worker meanwhile leaves or has
- * shrunk. */
+/* Queues the starts that the cycle has made durable, except to workers that are leaving or have
+ * shrunk since. */
 static void
 release_starts (struct mt_scheduler *sched, struct mt_job *job, int64_t now)
 {
--- a/core/scheduler/scheduler_internal.h
+++ b/core/scheduler/scheduler_internal.h
@@ -28,32 +28,32 @@
   uint8_t state;
   uint8_t attempts;      /* failed runs */
   uint8_t losses;        /* consecutive runs lost with their worker */
-  uint8_t crashes;       /* ... of these, runs that were lost shortly after they began */
+  uint8_t crashes;       /* ... of these, losses shortly after the run began */
   uint8_t start_retries; /* times the start of this run was resent */
-  uint8_t percent;
-  uint8_t pace;
-  bool order_queued;    /* a start or stop is queued */
-  bool order_in_flight; /* a start or stop was sent and has no answer yet */
-  bool unconfirmed;     /* the start got no answer */
-  bool stop_acked;      /* the worker has acknowledged the stop */
-  bool done_elsewhere;  /* an earlier run completed the task; this run only has to end */
-  bool inherited;       /* ordered by the previous leader, whose orders are now fenced off */
-  bool begun_under_predecessor; /* ... and known to have begun under that leader */
+  uint8_t percent;       /* progress, as last reported */
+  uint8_t pace;          /* speed of a fill task, in percent of full speed */
+  bool order_queued;     /* a start or stop is queued */
+  bool order_in_flight;  /* a start or stop was sent and has no answer yet */
+  bool unconfirmed;      /* the last start sent got no answer */
+  bool stop_acked;       /* the worker has acknowledged the stop */
+  bool done_elsewhere;   /* an earlier run completed the task; this run only has to end */
+  bool inherited;        /* ordered by the previous leader and not listed by its worker since */
+  bool begun_under_predecessor; /* the previous leader recorded that the run had begun */
   bool suspect;                 /* its last run may have crashed its worker */
-  bool isolated; /* a suspect that has not settled: keeps other jobs off its worker */
+  bool isolated; /* suspect whose run has not settled; no other job's task starts on its worker */
   uint32_t run;
-  uint32_t listing;    /* the worker's listing that last contained the run */
+  uint32_t listing;    /* number of the worker's listing that last contained the run */
   int64_t state_since; /* when the task entered its state */
   int64_t begun_at;    /* when the run was first known to have begun; 0: not yet */
-  int64_t settle_ms;   /* the run settles after being observed this long, if above SETTLED_MS */
+  int64_t settle_ms;   /* observed run time after which the run has settled, if above SETTLED_MS */
   int64_t acked_at;    /* when the worker last acknowledged an order for this run; 0: never */
   int64_t progress_at; /* when percent last changed */
-  int64_t not_before;
-  int64_t predecessor_stop_by; /* stops that the previous leader sent have taken effect by then */
-  int64_t unavailable_since;   /* long-running: unavailable since then; 0: at work */
-  int64_t gauge;
+  int64_t not_before;  /* the task is not placed before this time */
+  int64_t predecessor_stop_by; /* time by which the previous leader's stops have taken effect */
+  int64_t unavailable_since;   /* of a long-running task: start of its unavailability; 0: at work */
+  int64_t gauge;               /* as last reported; see struct mt_run_row */
   struct mt_worker *worker;
-  struct mt_worker *avoided; /* its last run ended badly there; only compared, never dereferenced */
+  struct mt_worker *avoided; /* worker where the last run ended badly; never dereferenced */
   char *checkpoint;
   GList link; /* in the worker's task queue */
 };
@@ -68,16 +68,17 @@
   unsigned n_done;
   unsigned *step_first;    /* index of each step's first task */
   unsigned *step_waiting;  /* waiting tasks of each step */
-  unsigned *step_unplaced; /* ... of these, tasks that the last placing found no resources for */
+  unsigned *step_unplaced; /* ... of these, tasks for which the last placing found no resources */
   unsigned *step_done;
   double *step_ms; /* longest successful run of each step; 0: none yet */
   int64_t due_at;  /* when it was scheduled to start */
   int64_t objective_at;
-  int64_t shortage_since; /* startable tasks have lacked resources since then; 0: none does */
-  int64_t shortage_ms;    /* total time before that in which startable tasks lacked resources */
+  int64_t shortage_since; /* start of the present lack of resources for ready tasks; 0: none lacks
+                             any */
+  int64_t shortage_ms;    /* total duration of earlier shortages */
   unsigned reruns;        /* starts of tasks that had run before */
   bool ended;
-  bool work_recorded; /* its work is included in the route's mean */
+  bool work_recorded; /* its work is included in the route's mean_work */
 };
 
 /* A workspace's usage and limits in this pool. */
@@ -88,7 +89,7 @@
   struct mt_resources used;    /* by tasks assigned to a worker */
   struct mt_resources granted; /* this pool's share of the quota */
   bool has_grant;              /* a grant message has set granted */
-  double burst;                /* jobs above the rate as of burst_at; drains at the rate */
+  double burst;                /* level of the leaky bucket of submitted jobs, as of burst_at */
   int64_t burst_at;
 };
 
@@ -101,13 +102,13 @@
   unsigned n_occurrences;
   unsigned n_ended;
   enum mt_job_state state;
-  enum mt_job_state durable_state; /* the state shown to callers */
+  enum mt_job_state durable_state; /* the last stored state, which callers are shown */
   enum mt_job_state cycle_state;   /* the state that the running cycle writes */
   bool over_rate;                  /* submitted above its workspace's rate */
   bool begun;
   bool dirty;         /* to be written in the next cycle */
   bool in_dirty_list; /* in the scheduler's dirty list */
-  bool in_cycle;      /* being written */
+  bool in_cycle;      /* its record is being written */
   int64_t ended_at;
   int64_t submitted_at;
   int64_t revision;
@@ -120,11 +121,11 @@
   struct mt_route_policy policy;
   unsigned pending; /* jobs that have not begun */
   bool needs_tickets;
-  double mean_ms;     /* mean run time of completed tasks; 0: none yet */
-  double estimate_ms; /* mean of the callers' estimates for these tasks */
-  double mean_work;
-  double chain_ms;     /* mean length of its jobs' longest chains */
-  double arriving_cpu; /* thousandths of a core, as of arriving_at */
+  double mean_ms;      /* mean run time of completed tasks; 0: none yet */
+  double estimate_ms;  /* mean of the callers' estimates for the same tasks */
+  double mean_work;    /* mean work of an occurrence, in thousandths of a core * ms */
+  double chain_ms;     /* mean estimated run time of its jobs' longest chains */
+  double arriving_cpu; /* rate of arriving work in thousandths of a core, as of arriving_at */
   int64_t arriving_at;
 };
 
@@ -142,9 +143,9 @@
   bool listed;
   bool leaving;
   bool ended;
-  bool confirmed; /* has answered a hold under our token */
+  bool confirmed; /* has answered a hold that carried this leader's token */
   bool hold_in_flight;
-  uint32_t listing;
+  uint32_t listing; /* number of its last listing of runs */
   int64_t listed_since;
   int64_t leaving_since;
   int64_t hold_sent_at;
@@ -152,19 +153,19 @@
   int64_t answered_at;    /* time of the last answer; 0: none */
   int64_t start_sent_at;  /* when the last start was sent to it; 0: never */
   int64_t listing_at;     /* time of its last listing of runs; 0: none */
-  int64_t silent_since;   /* 0 while it answers */
+  int64_t silent_since;   /* start of its present silence; 0: it answers */
   int64_t fell_silent_at; /* when it last became silent; 0: never */
-  bool was_isolating;     /* a suspect was isolated on it at that time */
+  bool was_isolating;     /* a suspect was isolated on it at fell_silent_at */
   int64_t clock_ms;       /* last reading of the worker's clock ... */
   int64_t clock_at;       /* ... and our clock at that reading; 0: none */
-  int64_t lease_end;      /* by then, on our clock, every lease granted to it has expired */
+  int64_t lease_end;      /* time on our clock by which all leases granted to it have expired */
   int64_t cordon_until;
-  int64_t drain_announced_until; /* validity of the announcement of a later drain */
+  int64_t drain_announced_until; /* when the announcement of a later drain expires */
   bool move_long_running;
 
-  int64_t applied_end; /* highest end applied to the jobs */
-  int64_t cycle_end;   /* ... when the running cycle began */
-  int64_t durable_end; /* ... that is durable */
+  int64_t applied_end; /* sequence number of the last end of a run that was applied */
+  int64_t cycle_end;   /* applied_end when the running cycle began */
+  int64_t durable_end; /* highest end whose effects are durable */
 
   double failures; /* recent failures, decayed */
   double successes;
@@ -172,27 +173,27 @@
   int64_t outcome_at;
   int64_t avoid_until;
   unsigned avoid_count;
-  unsigned orphaned_runs; /* in its last listing; their resources are not counted in used */
+  unsigned orphaned_runs; /* orphaned runs in its last listing; not counted in used */
   unsigned lost_holds;    /* consecutive holds without an answer */
   unsigned isolated_tasks;
-  const struct mt_job *isolated_job; /* the job of all isolated tasks */
+  const struct mt_job *isolated_job; /* job of all isolated tasks on the worker */
   unsigned orders_in_flight;
-  int64_t paced_at;
+  int64_t paced_at; /* last change of its fill tasks' pace; 0: none since a task left it */
 };
 
 struct mt_step_tickets
 {
   char *step_name;
-  bool request_pending;
+  bool request_pending; /* a request is to be sent */
   bool in_flight;
-  int64_t retry_at;
+  int64_t retry_at;    /* earliest time of the next request */
   GHashTable *tickets; /* worker id to struct mt_ticket */
 };
 
 struct mt_ticket
 {
   char *text;
-  int64_t until;
+  int64_t until; /* end of its validity */
 };
 
 /* A run that a worker lists and that belongs to no job. */
@@ -220,35 +221,38 @@
   GQueue closed;            /* ended jobs, in order of their end */
   GPtrArray *dirty;         /* jobs to be written; entries whose dirty flag is clear are skipped */
   GPtrArray *writing;       /* jobs of the running cycle */
-  GPtrArray *owned_workers; /* all that were ever known; freed with the scheduler */
+  GPtrArray *owned_workers; /* every worker ever known; freed with the scheduler */
   GQueue starts;            /* tasks whose start is queued */
   GQueue stops;             /* tasks whose stop is queued */
   GQueue pace_changes;
   GQueue orphaned_runs; /* orphaned runs to be stopped */
   bool in_cycle;
   bool changed;     /* a cycle may have something to place or write */
-  int64_t place_at; /* a waiting task may become placeable then; 0: none */
+  int64_t place_at; /* next time at which a waiting task may become placeable; 0: none */
   bool fenced;
   int64_t last_placed_at;
   int64_t last_check_at;
   int64_t link_delay_ms; /* delay of outgoing messages in the owner's link */
-  int64_t link_late_at;  /* when that delay last was too long for timely answers; 0: never */
-  int64_t link_full_at;  /* when starts last waited for the link; 0: never */
-  int64_t order_lost_at; /* when an order to a worker that answers other calls was last lost */
-  int64_t expected_cpu;  /* announced capacity; valid until expected_until */
+  int64_t link_late_at;  /* when link_delay_ms was last too long for timely answers; 0: never */
+  int64_t link_full_at;  /* when starts last waited for a full link; 0: never */
+  int64_t order_lost_at; /* when a worker that answers other orders last left one unanswered; 0:
+                            never */
+  int64_t
+      expected_cpu; /* announced capacity in thousandths of a core; valid until expected_until */
   int64_t expected_until;
-  int64_t estimated_at; /* time of the wait estimate's inputs below */
-  double timely_work;   /* of jobs that can meet their objective; thousandths of a core * ms */
-  double total_work;
-  double batch_cpu; /* thousandths of a core; 0: unknown */
+  int64_t estimated_at; /* when timely_work, total_work and batch_cpu were calculated */
+  double timely_work;   /* work of jobs that can meet their objective; thousandths of a core * ms */
+  double total_work;    /* work of all jobs; thousandths of a core * ms */
+  double
+      batch_cpu; /* processors for all but long-running tasks; thousandths of a core; 0: unknown */
   mt_scheduler_event_callback on_event;
   void *event_ctx;
 };
 
-/* A start that is still unconfirmed this long after its last retry is stopped, so that its run
- * certainly ends. */
+/* A start that is still unconfirmed this long after its last retry is stopped, so that a run that
+ * it may have begun ends. */
 #define MT_UNCONFIRMED_START_MS 350
-/* Longest time that a hold waits at the worker for an end. Leases are renewed at least this
+/* Longest time that a hold waits at the worker for a run to end. Leases are renewed at least this
  * often. */
 #define MT_HOLD_WAIT_MS 1000
 /* A worker that has not answered for this long takes no new work. */
@@ -256,7 +260,7 @@
 /* A stop without an answer, or without effect, is resent after this time. A worker needs 200 ms to
  * stop a run. */
 #define MT_STOP_RETRY_MS 300
-/* A worker slower than the mean by this factor is avoided. */
+/* A worker whose slowness is above the mean by this factor is avoided. */
 #define MT_SLOW_FACTOR 1.4
 /* Steps considered when chain lengths are computed. Dependencies on later steps are ignored. */
 #define MT_MAX_CHAIN_STEPS 64
@@ -277,7 +281,7 @@
 /* scheduler.c */
 void mt_ticket_free (void *data);
 void mt_job_mark_dirty (struct mt_scheduler *sched, struct mt_job *job);
-/* A task of the job has started: the job no longer counts as pending. */
+/* Records that a task of the job has started: the job no longer counts as pending. */
 void mt_job_mark_begun (struct mt_job *job);
 void mt_job_complete_if_done (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
 void
@@ -292,7 +296,7 @@
 void mt_task_name (const struct mt_task *task, char *out, size_t size);
 /* ID.OCCURRENCE.STEP, as used in ticket requests. */
 void mt_task_step_name (const struct mt_task *task, char *out, size_t size);
-/* Tickets of the task's step; NULL if none were requested. */
+/* Returns the tickets of the task's step; NULL if none were requested. */
 struct mt_step_tickets *mt_task_step_tickets (const struct mt_scheduler *sched,
                                               const struct mt_task *task);
 void
@@ -300,18 +304,18 @@
 void mt_task_set_waiting (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
 void mt_task_finish (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
 void mt_task_stop (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
-void mt_task_keep_checkpoint (struct mt_task *task, const char *checkpoint);
+void mt_task_set_checkpoint (struct mt_task *task, const char *checkpoint);
 void mt_task_dequeue (struct mt_scheduler *sched, struct mt_task *task);
 
 /* scheduler_accounts.c */
-/* Creates the account if needed. NULL without a workspace. */
-struct mt_account *mt_scheduler_account (struct mt_scheduler *sched, const char *workspace);
+/* Returns the workspace's account, created if needed; NULL for no workspace (NULL or ""). */
+struct mt_account *mt_scheduler_get_account (struct mt_scheduler *sched, const char *workspace);
 void mt_account_free (void *data);
 /* Adds the resources of one task of the step to the usage; sign -1 subtracts them. */
 void mt_account_add_usage (struct mt_account *account, const struct mt_step *step, int sign);
 /* Counts a job submitted now. Returns true if it exceeds the workspace's rate. */
 bool mt_account_record_job (struct mt_account *account, int64_t now);
-/* Whether the quota allows one more task of the step in this pool. */
+/* Returns whether the quota allows one more task of the step in this pool. */
 bool mt_account_allows (const struct mt_scheduler *sched,
                         const struct mt_account *account,
                         const struct mt_step *step,
@@ -320,20 +324,21 @@
 /* scheduler_arrivals.c */
 /* Counts the work of a job submitted now. */
 void mt_route_record_arrival (const struct mt_job *job, int64_t now);
-/* Recent arrivals of work in thousandths of a core. */
+/* Returns the recent rate of arriving work in thousandths of a core. */
 double mt_scheduler_arriving_cpu (const struct mt_scheduler *sched, int64_t now);
 
 /* scheduler_workers.c */
-struct mt_worker *mt_scheduler_worker (struct mt_scheduler *sched, const char *id);
+/* Returns the worker, created if needed. */
+struct mt_worker *mt_scheduler_get_worker (struct mt_scheduler *sched, const char *id);
 bool mt_worker_accepts_work (const struct mt_worker *w, int64_t now);
-/* Its tasks use more resources than it has, because it has shrunk. */
+/* Returns whether the worker's tasks use more resources than it has, as after it has shrunk. */
 bool mt_worker_is_overcommitted (const struct mt_worker *w);
 bool mt_worker_fits (const struct mt_worker *w, const struct mt_step *step);
 unsigned
 mt_worker_tasks_of_step (const struct mt_worker *w, const struct mt_occurrence *occ, unsigned step);
-/* Resources, label and max_per_worker allow the task to run there. */
+/* Returns whether resources, label and max_per_worker allow the task to run on the worker. */
 bool mt_worker_can_run (const struct mt_worker *w, const struct mt_task *task);
-/* A different worker that accepts work can run the task. */
+/* Returns whether another worker that accepts work can run the task. */
 bool mt_task_can_run_elsewhere (const struct mt_scheduler *sched,
                                 const struct mt_task *task,
                                 int64_t now);
@@ -341,8 +346,8 @@
                                struct mt_worker *w,
                                bool succeeded,
                                int64_t now);
-/* Sets all tasks of the worker waiting. Nothing may run there any more: its incarnation has ended,
- * or its lease has expired. */
+/* Sets all tasks of the worker waiting. Requires that none of them can run there any more: the
+ * worker's incarnation has ended, or its lease has expired. */
 void mt_worker_release_tasks (struct mt_scheduler *sched,
                               struct mt_worker *w,
                               bool incarnation_ended,
@@ -353,9 +358,9 @@
 void mt_worker_record_lease (struct mt_worker *w, int64_t lease_ms, int64_t now);
 
 /* scheduler_crashes.c */
-/* The run is known to have begun. */
+/* Returns whether the task's run is known to have begun. */
 bool mt_task_has_begun (const struct mt_task *task);
-/* How long the run is known to have run; 0 if it is not known to have begun. */
+/* Returns how long the run is known to have run; 0 if it is not known to have begun. */
 int64_t mt_task_observed_ms (const struct mt_task *task);
 void mt_worker_record_silence (struct mt_worker *w, int64_t now);
 /* Counts the loss of a worker for each of its tasks; to be called before they are released. Returns
@@ -365,36 +370,39 @@
                                    bool incarnation_ended,
                                    int64_t now);
 void mt_task_give_up (struct mt_scheduler *sched, struct mt_task *task, int64_t now);
-/* Gives up the job if the losses in its stored record are too many. */
+/* Gives up the job if one of its tasks has had too many losses by its stored record. */
 void mt_job_give_up_lost (struct mt_scheduler *sched, struct mt_job *job, int64_t now);
-/* False if the task, or one on the worker, must be isolated from other jobs. */
+/* Returns false if the task, or one on the worker, must be isolated from other jobs. */
 bool mt_task_may_share_worker (const struct mt_task *task, const struct mt_worker *w, int64_t now);
-/* Isolates a task that was just placed if it is suspect. */
+/* Isolates a task that was just placed, if it is a suspect. */
 void mt_task_isolate (struct mt_task *task);
 void mt_task_end_isolation (struct mt_task *task);
-/* Called when the worker has answered: its suspects that have settled are no longer suspect. */
+/* To be called when the worker has answered: clears suspicion of its tasks that have settled. */
 void mt_worker_clear_settled (struct mt_scheduler *sched, struct mt_worker *w);
 
 /* scheduler_load.c */
-/* Remaining work in thousandths of a core * ms, without long-running and fill tasks. */
+/* Returns the remaining work in thousandths of a core * ms, without long-running and fill tasks. */
 double mt_occurrence_remaining_work (const struct mt_occurrence *occ);
-/* Remaining run time of the task, by its progress if known, otherwise by the expected run time. */
+/* Returns the remaining run time of the task, by its progress if known, otherwise by the expected
+ * run time. */
 int64_t mt_task_remaining_ms (const struct mt_task *task, int64_t now);
 
 /* scheduler_place.c */
 void mt_scheduler_place (struct mt_scheduler *sched, int64_t now);
 bool mt_occurrence_step_is_ready (const struct mt_occurrence *occ, unsigned step);
-/* The occurrence can still complete within its objective. */
+/* Returns whether the occurrence can still complete within its objective. */
 bool mt_occurrence_can_meet_objective (const struct mt_occurrence *occ, int64_t now);
-/* Sets objective_at from what is known of the steps' run times. */
+/* Sets objective_at from the measured or expected run times of the steps. */
 void mt_occurrence_set_objective (struct mt_occurrence *occ);
+/* Returns the expected run time of one of the step's tasks. */
 double mt_step_expected_ms (const struct mt_route *route, const struct mt_step *step);
 
 /* scheduler_orders.c */
-/* The owner's link was late within the last hold's duration: a worker's silence is then no evidence
- * against it. */
+/* Returns whether the owner's link was late within the longest round trip of a hold: a worker's
+ * silence is then no evidence against it. */
 bool mt_scheduler_is_link_late (const struct mt_scheduler *sched, int64_t now);
-/* Starts have recently waited for the link: it limits the pool's throughput. */
+/* Returns whether starts have recently waited for the link, so that it limits the pool's
+ * throughput. */
 bool mt_scheduler_is_link_bound (const struct mt_scheduler *sched, int64_t now);
 
 /* scheduler_watch.c: stalled tasks, unanswered stops, moves, and lost workers */
--- a/core/scheduler/scheduler_load.c
+++ b/core/scheduler/scheduler_load.c
@@ -1,17 +1,19 @@
-/* State of the workers, and the pool's current and upcoming load, for decisions made elsewhere. */
+/* State of the workers, and current and upcoming load of the pool, as input for decisions outside
+ * the scheduler. */
 #include "scheduler_internal.h"
 
-/* Time before a job's objective that is reserved for orders and reports of ends, and the shortest
- * remaining time that is counted: a job that is nearly late does not ask for all machines. */
+/* Time before a job's objective that is reserved for orders and for reports of ends. The remaining
+ * time counts as no less than the minimum, so that a job that is nearly late does not ask for all
+ * machines. */
 #define DEMAND_MARGIN_MS 200
 #define MIN_DEMAND_MS    400.0
-/* How far ahead the upcoming load is estimated: about as long as a machine takes to arrive. */
+/* How far ahead the upcoming load is estimated: about the time that a machine takes to move to the
+ * pool. */
 #define UPCOMING_MS 1000
-/* A leader whose link limits it asks for this factor of the processors that it keeps busy: the link
- * may carry more the next moment. */
+/* A leader limited by its link asks for this multiple of the processors that it keeps busy: the
+ * link may soon carry more. */
 #define LINK_BOUND_FACTOR 1.3
-/* Work that can't meet its objective any more is to be done within this time once there are
- * resources. */
+/* Work that can't meet its objective any more is to be completed within this time. */
 #define OVERDUE_WORK_MS 4000.0
 
 int64_t
@@ -27,7 +29,8 @@
   return MAX ((int64_t) expected - (now - task->state_since), 0);
 }
 
-/* As many rounds as the step with the most tasks needs within its max_unavailable. */
+/* Returns the number of rounds in which the worker's long-running tasks can be moved off: the most
+ * that any step needs within its max_unavailable. */
 static unsigned
 drain_rounds (const struct mt_worker *w)
 {
@@ -125,8 +128,8 @@
   return work;
 }
 
-/* Processors that the job needs on average to meet its objective. A job with a long objective needs
- * fewer than its tasks could use at once. */
+/* Returns the processors that the occurrence needs on average to meet its objective: with a long
+ * objective, fewer than its tasks could use at once. */
 static int64_t
 occurrence_demand_cpu (const struct mt_occurrence *occ, int64_t now)
 {
@@ -135,8 +138,8 @@
   return (int64_t) (mt_occurrence_remaining_work (occ) / remaining_ms);
 }
 
-/* Time until the step's running tasks have ended; adds those that run beyond UPCOMING_MS to
- * still_running. */
+/* Returns the time until the step's running tasks have ended. Adds the number of those that run for
+ * longer than UPCOMING_MS to still_running. */
 static double
 step_remaining_ms (const struct mt_occurrence *occ,
                    unsigned s,
@@ -159,8 +162,8 @@
   return (double) longest;
 }
 
-/* Processors that the occurrence keeps busy UPCOMING_MS from now. A step that is nearly done needs
- * none by then, and the step after it needs all of its processors. */
+/* Returns the processors that the occurrence keeps busy UPCOMING_MS from now. A step that is nearly
+ * done needs none by then, and a step that follows it needs all of its own. */
 static int64_t
 occurrence_upcoming_cpu (const struct mt_occurrence *occ, int64_t now)
 {
@@ -189,7 +192,7 @@
   return sum;
 }
 
-/* More machines don't help a job that waits for its workspace's quota. */
+/* Returns whether a ready step waits for its workspace's quota: more machines don't help it. */
 static bool
 waits_for_quota (const struct mt_scheduler *sched, const struct mt_occurrence *occ, int64_t now)
 {
@@ -220,8 +223,9 @@
     {
       const struct mt_step *step = &occ->job->spec->steps[s];
 
-      /* Tasks that became ready since the last placing don't lack resources. If they were counted,
-       * a pool under a steady stream would often look short and keep machines that others lack. */
+      /* Leaves out tasks that became ready after the last placing: they don't lack resources. If
+       * they were counted, a pool under steady load would often seem to lack resources and would
+       * keep machines that other pools need. */
       unsigned unplaced = MIN (occ->step_unplaced[s], occ->step_waiting[s]);
 
       if (step->fill)
@@ -247,9 +251,10 @@
   return n;
 }
 
-/* A leader whose link is full can't use many more machines than it keeps busy. */
+/* Limits the pool's demand to LINK_BOUND_FACTOR of the processors in use: a leader whose link is
+ * full can't use many more machines than it keeps busy. */
 static void
-limit_to_link (struct mt_scheduler_load *load)
+limit_load_to_link (struct mt_scheduler_load *load)
 {
   int64_t max_cpu = (int64_t) (LINK_BOUND_FACTOR * (double) load->used_cpu);
 
@@ -291,5 +296,5 @@
       add_worker_usage (load, w, now);
     }
   if (mt_scheduler_is_link_bound (sched, now))
-    limit_to_link (load);
+    limit_load_to_link (load);
 }
--- a/core/scheduler/scheduler_orders.c
+++ b/core/scheduler/scheduler_orders.c
@@ -1,10 +1,10 @@
-/* Selects the next order to send. */
+/* Selection of the next order to send. */
 #include "scheduler_internal.h"
 
 /* Most orders in flight to one worker; more would only wait in its connections. */
 #define MAX_ORDERS_PER_WORKER 4U
-/* For this long after an order was lost, holds wait at the worker for the shorter time: what a lost
- * hold would have reported then comes that much sooner. */
+/* For LOST_ORDER_MS after an order was lost, holds wait at the worker only for SHORT_HOLD_WAIT_MS:
+ * a hold that follows a lost one is then sent sooner, and so reports sooner. */
 #define LOST_ORDER_MS      3000
 #define SHORT_HOLD_WAIT_MS 200
 /* While ends can't be made durable, leases are renewed at this interval by holds that don't wait
@@ -13,24 +13,24 @@
 /* Ends are collected for this long before a worker's next hold: under load one hold then reports
  * several. */
 #define GATHER_ENDS_MS 15
-/* The link is full when outgoing messages are delayed by this much, which is well below the time in
- * which the answer to an order is expected. It is late when answers to what was sent may be
- * overdue. */
+/* The link is full when it delays outgoing messages by more than FULL_LINK_DELAY_MS, well below the
+ * time in which the answer to an order is expected. It is late when the delay is above
+ * LATE_LINK_DELAY_MS: answers to sent orders may then be overdue. */
 #define FULL_LINK_DELAY_MS 60
 #define LATE_LINK_DELAY_MS 200
 /* After starts have waited for a full link, the link counts as the pool's bottleneck for this
  * long. */
 #define LINK_BOUND_MS 1000
-/* Longest expected time from sending a hold to its answer. */
+/* Longest time from sending a hold to its answer. */
 #define MAX_HOLD_ROUND_TRIP_MS (MT_HOLD_WAIT_MS + 500)
-/* On a slow link, ends are collected for this many link delays more: holds then take less of the
- * link, and starts get through. */
+/* On a slow link, ends are collected for this many link delays more: holds then use less of the
+ * link and leave more of it to starts. */
 #define GATHER_LINK_DELAYS 3
 /* Most workers named in one ticket request. */
 #define MAX_TICKET_WORKERS 30U
 
 static void
-fill_order (const struct mt_scheduler *sched,
+init_order (const struct mt_scheduler *sched,
             struct mt_task *task,
             struct mt_order *order,
             int64_t now)
@@ -77,7 +77,7 @@
   if (task == NULL)
     return false;
   order->kind = MT_ORDER_STOP;
-  fill_order (sched, task, order, now);
+  init_order (sched, task, order, now);
   return true;
 }
 
@@ -109,7 +109,7 @@
   if (task == NULL)
     return false;
   order->kind = MT_ORDER_START;
-  fill_order (sched, task, order, now);
+  init_order (sched, task, order, now);
   task->worker->start_sent_at = now;
   mt_worker_record_lease (task->worker, sched->settings.lease_ms, now);
   return true;
@@ -123,14 +123,14 @@
   if (task == NULL || task->state != MT_TASK_RUNNING)
     return false;
   order->kind = MT_ORDER_PACE;
-  fill_order (sched, task, order, now);
+  init_order (sched, task, order, now);
   order->percent = task->pace;
   task->worker->orders_in_flight++;
   return true;
 }
 
-/* A worker without tasks that has been confirmed under our token needs no holds before
- * next_hold_at. */
+/* Returns whether a hold is to be sent to the worker now. A confirmed worker without tasks gets
+ * none before next_hold_at. */
 static bool
 is_hold_due (const struct mt_scheduler *sched, const struct mt_worker *w, int64_t now)
 {
@@ -146,8 +146,8 @@
   return now - w->hold_sent_at >= gather_ms;
 }
 
-/* Holds are short on a worker with an isolated suspect, which takes no other job's tasks until the
- * suspect has settled. */
+/* Returns how long a hold waits at the worker for an end. The wait is short on a worker with an
+ * isolated suspect, which takes no other job's tasks until the suspect has settled. */
 static int64_t
 hold_wait_ms (const struct mt_scheduler *sched, const struct mt_worker *w, int64_t now)
 {
@@ -178,9 +178,10 @@
       order->acked_end = w->durable_end;
       order->wait_ms
           = w->tasks.length > 0 && w->confirmed && !blocked ? hold_wait_ms (sched, w, now) : 0;
-      /* A hold without an answer may have been carried out. If each retry renewed the lease, the
-       * tasks of a partitioned worker could never be known to have ended. But where our own link is
-       * late, not renewing would end the tasks of healthy workers with their leases. */
+      /* Holds to a silent worker don't renew the lease: a hold without an answer may have been
+       * carried out, and if each retry renewed the lease, the tasks of a partitioned worker could
+       * never be known to have ended. If our own link is late they do, as otherwise the leases and
+       * tasks of healthy workers would end. */
       if (w->silent_since == 0 || mt_scheduler_is_link_late (sched, now))
         {
           order->lease_end_ms = mt_worker_lease_end (w, now, sched->settings.lease_ms);
@@ -240,10 +241,10 @@
   return sched->link_full_at != 0 && now - sched->link_full_at < LINK_BOUND_MS;
 }
 
-/* Orders are sent by what is lost if they are late: stops first, which free resources, then holds,
- * which renew leases, then starts. A surge's starts alone fill a thin link for longer than their
- * answers are waited for; lease renewals behind them would be late and end running tasks. Tasks
- * whose starts wait here can still be placed elsewhere. */
+/* Orders are sent in the order of the loss that their delay causes: stops, which free resources,
+ * then holds, which renew leases, then starts. On a slow link the starts of a surge alone take
+ * longer than the time-out of their answers. Lease renewals behind them would be late and would end
+ * running tasks, while tasks whose starts wait here can still be placed elsewhere. */
 bool
 mt_scheduler_next_order (struct mt_scheduler *sched, int64_t now, struct mt_order *order)
 {
--- a/core/scheduler/scheduler_outlook.c
+++ b/core/scheduler/scheduler_outlook.c
@@ -1,19 +1,19 @@
 /* Wait estimate for a job that is submitted now.
  *
- * A surge asks for more than all machines can do. If every job were accepted, most would wait until
- * their answers are of no use, though their callers could have gone elsewhere. Jobs that can
- * complete while that is useful are accepted; the others are refused at once, with a time to come
- * back. */
+ * The load of a surge exceeds the capacity of all machines. If every job were accepted, most would
+ * complete when their results are of no use any more, though their callers could have gone
+ * elsewhere. Jobs that can complete while their results are useful are accepted; the others are
+ * refused at once, with a time after which to retry. */
 #include "scheduler_internal.h"
 
 /* The backlog is recalculated after this time: under load hundreds of jobs ask each second. */
 #define BACKLOG_MAX_AGE_MS 40
-/* Share of the processors that is busy in a surge: wide tasks leave gaps. */
+/* Share of the processors that is busy in a surge: wide tasks leave some of them unused. */
 #define USABLE_SHARE 0.9
-/* An answer is of use up to this many times the job's objective. */
+/* A job's result is useful up to this many times its objective. */
 #define MAX_USEFUL_OBJECTIVES 3
-/* Overdue work may get this many times the pool's present machines once the surges are over: only
- * jobs that are hopeless even then are refused. */
+/* After the surges, overdue work may get this many times the pool's present machines. Only jobs
+ * that would be too late even with these are refused. */
 #define LATER_CAPACITY_FACTOR 2
 
 void
@@ -23,8 +23,8 @@
   sched->expected_until = until;
 }
 
-/* Processors for jobs that are not long-running, in thousandths of a core; 0: unknown. A full link
- * limits throughput to what is busy now, whatever resources are free. */
+/* Returns the processors for all but long-running tasks, in thousandths of a core; 0: unknown. A
+ * full link limits them to the processors in use now, whatever resources are free. */
 static double
 batch_capacity_cpu (const struct mt_scheduler *sched, int64_t now)
 {
@@ -66,7 +66,8 @@
   sched->batch_cpu = batch_capacity_cpu (sched, now);
 }
 
-/* The caller's estimate of the longest chain, corrected by the route's past estimates. */
+/* Returns the caller's estimate of the longest chain, corrected by the error of the route's past
+ * estimates. */
 static double
 expected_chain_ms (const struct mt_route *route, int64_t chain_ms)
 {
--- a/core/scheduler/scheduler_pace.c
+++ b/core/scheduler/scheduler_pace.c
@@ -1,21 +1,22 @@
-/* Fill work beside serving tasks: it is slowed before the serving tasks' tail latency has been over
- * target for long, and restored in steps. */
+/* Pace of fill work on workers with serving tasks. Fill work is slowed before the tail latency of
+ * the serving tasks has been above its target for long, and restored in steps. */
 #include "scheduler_internal.h"
 
 /* Shares of the target latency above which fill work is slowed, and below which it is restored. */
 #define SLOW_DOWN_SHARE 0.9
 #define RESTORE_SHARE   0.6
-/* Paces in percent of full speed. Two steps down reach a halt in two checks, at most a second
- * apart: half the shortest time limit on harm to serving tasks. */
+/* Paces in percent of full speed. Two steps bring fill work to a halt within two checks, which are
+ * at most a second apart: half the shortest time for which serving tasks may be disturbed. */
 #define PACE_FULL    100
 #define PACE_REDUCED 40
 #define PACE_HALT    0
-/* The gauge covers the last half second, so a change of pace shows after this time. */
+/* Time until a change of pace shows in the gauge, which covers the last half second. */
 #define PACE_EFFECT_MS 700
-/* Fill work is restored after this long below the target; a shorter time would make the pace
- * oscillate. */
+/* Fill work is restored this long after the last change of pace, if the latency is below
+ * RESTORE_SHARE; a shorter time would make the pace oscillate. */
 #define RESTORE_AFTER_MS 1500
 
+/* Returns 1 if fill work on the worker is to be slowed, -1 if it may be restored, else 0. */
 static int
 target_pressure (const struct mt_worker *w)
 {
--- a/core/scheduler/scheduler_place.c
+++ b/core/scheduler/scheduler_place.c
@@ -2,54 +2,54 @@
  *
  * Each route in turn receives five times its mean load for some seconds, more than its pool can
  * run, and a twentieth of the mean in between. In a surge not all jobs can meet their objectives,
- * so resources go to the jobs of most value for the work they still need. A job that can't meet its
- * objective any more yields to them; it runs, oldest first, as soon as no timely job needs the
- * resources. No accepted job is dropped. */
+ * so resources go to the jobs with the highest value per remaining work. Jobs that can't meet their
+ * objectives any more run, oldest first, as soon as no timely job needs the resources. No accepted
+ * job is dropped. */
 #include "scheduler_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* Share of a job's value that does not depend on its size: it is earned by being served at all. */
+/* Share of a job's value that does not depend on its size. */
 #define BASE_VALUE_SHARE 0.3
-/* Estimates are often too long: a job counts as timely while this share of its expected remaining
- * time still fits. */
+/* A job counts as timely while this share of its expected remaining time ends within its objective:
+ * estimates are often too long. */
 #define TIMELY_SHARE 0.8
 /* A job that ends after its objective still has a little value, up to this many times the
  * objective. */
 #define MAX_LATE_OBJECTIVES 3
-/* Tasks that may run at a time on a worker suspected to be unhealthy. */
+/* Most tasks that run at a time on a worker that may be unhealthy. */
 #define MAX_TRIAL_TASKS 2U
-/* How long a task avoids the worker where its last run ended badly, or which left. After that the
- * worker may be the only one with resources, and the task would wait beside it for nothing. Other
- * workers have had time to take the task: in a surge tasks end every few ms. */
+/* How long a task avoids the worker on which its last run ended badly, or which left. Within this
+ * time other workers could have taken the task: in a surge tasks end every few ms. After it the
+ * worker may be the only one with free resources, and the task would wait in vain. */
 #define AVOID_MS 1000
-/* Longest time that a task's last attempt waits for a worker proved to be healthy. */
+/* Longest time that a task waits with its last attempt for a worker proved to be healthy. */
 #define LAST_ATTEMPT_WAIT_MS 3000
-/* How much longer than the placing of its start a ticket must be valid: the start is stored, then
+/* How long a ticket must still be valid when the task is placed: its start is first stored, then
  * sent. */
 #define TICKET_MARGIN_MS 200
 /* Cost advantage of a fully used worker, in multiples of a task's run time. If work is spread, no
- * machine becomes empty and can move to the pool that surges: packing improves the worst windows of
- * calm days by 0.05 to 0.1. */
+ * machine becomes empty and can move to the pool with the surge: packing improves the worst windows
+ * of calm days by 0.05 to 0.1. */
 #define PACKING_WEIGHT 0.3
-/* Most unsent starts at a leader whose link is full: about 100 ms of a thin link. */
+/* Most unsent starts at a leader whose link is full: a slow link takes about 100 ms for them. */
 #define MAX_UNSENT_STARTS 40U
 /* Cost of placing a long-running task on a worker with an announced drain: the task would be moved
- * once more, and its step's max_unavailable used twice. Any other worker is better, unless it is
- * slow or fill work disturbs the task there. */
+ * once more, and its step's max_unavailable used twice. Any other worker is preferred, unless it is
+ * slow or has fill work that would disturb the task. */
 #define DRAIN_COST 1.0
-/* Work is packed only onto a worker with at least this many recent successes. On the others it is
- * spread: one of them may be unhealthy and would fail all its tasks before this shows. */
+/* Work is packed only onto workers with at least this many recent successes, and spread over the
+ * others: one of these may be unhealthy and would fail many tasks before this shows. */
 #define MIN_PACKING_SUCCESSES 0.5
 
-/* Cost of each task that a suspect may take down, and of a new worker, in multiples of a task's run
- * time. */
+/* Costs of a suspect's worker in multiples of a task's run time: for each task there, which a crash
+ * would end, and for a new worker. */
 #define SUSPECT_COST    0.5
 #define NEW_WORKER_COST 2.0
-/* A worker listed for less than this may soon be gone again. */
+/* A worker listed for less than this is new: it may soon be gone again. */
 #define NEW_WORKER_MS 8000
-/* Interval at which a suspect that waits for a worker to be isolated on is tried again. */
+/* Interval of attempts to place a suspect that waits for a worker for its isolation. */
 #define SUSPECT_RETRY_MS 100
 
 /* The waiting tasks of one step of an occurrence. */
@@ -83,8 +83,8 @@
   return true;
 }
 
-/* Half the caller's estimate, corrected by the route's past estimates, plus half the route's mean:
- * estimates are off by a factor in either direction. */
+/* Half the caller's estimate, corrected by the error of the route's past estimates, plus half the
+ * route's mean: single estimates are wrong by a factor in either direction. */
 double
 mt_step_expected_ms (const struct mt_route *route, const struct mt_step *step)
 {
@@ -95,10 +95,10 @@
   return (estimate_ms * route->mean_ms / route->estimate_ms + route->mean_ms) / 2;
 }
 
-/* The objective depends on the steps' real run times, which the caller only estimates: ended steps
- * contribute their measured time, the others their expected time. By the caller's estimate alone,
- * every second job that runs longer than estimated would count as late and yield, though it can
- * still be in time. */
+/* The objective depends on the real run times of the steps: ended steps contribute their measured
+ * time, the others their expected time. By the caller's estimates alone, every second job that runs
+ * longer than estimated would count as overdue and be placed later, though it can still meet its
+ * objective. */
 void
 mt_occurrence_set_objective (struct mt_occurrence *occ)
 {
@@ -129,9 +129,9 @@
 
 struct remaining_work
 {
-  double chain_ms; /* remaining time along the longest chain */
-  double work;     /* remaining work in thousandths of a core * ms */
-  double total_work;
+  double chain_ms;   /* remaining time of the longest chain */
+  double work;       /* work of waiting tasks in thousandths of a core * ms */
+  double total_work; /* work of all tasks */
 };
 
 static struct remaining_work
@@ -163,48 +163,53 @@
 }
 
 static bool
-can_meet_objective (const struct mt_occurrence *occ, const struct remaining_work *o, int64_t now)
+can_meet_objective (const struct mt_occurrence *occ,
+                    const struct remaining_work *remaining,
+                    int64_t now)
 {
-  return now + (int64_t) (TIMELY_SHARE * o->chain_ms) <= occ->objective_at;
+  return now + (int64_t) (TIMELY_SHARE * remaining->chain_ms) <= occ->objective_at;
 }
 
 bool
 mt_occurrence_can_meet_objective (const struct mt_occurrence *occ, int64_t now)
 {
-  struct remaining_work o = estimate_remaining (occ);
+  struct remaining_work remaining = estimate_remaining (occ);
 
-  return can_meet_objective (occ, &o, now);
+  return can_meet_objective (occ, &remaining, now);
 }
 
 static void
-classify (struct ready_step *b, const struct remaining_work *o, int64_t now)
+classify (struct ready_step *ready, const struct remaining_work *remaining, int64_t now)
 {
-  struct mt_job *job = b->occ->job;
+  struct mt_job *job = ready->occ->job;
   double mean = job->route->mean_work;
-  int64_t allowed = b->occ->objective_at - b->occ->due_at;
+  int64_t allowed = ready->occ->objective_at - ready->occ->due_at;
 
-  b->priority = job->route->policy.priority;
-  if (job->spec->steps[b->step].long_running)
+  ready->priority = job->route->policy.priority;
+  if (job->spec->steps[ready->step].long_running)
     {
-      b->class = CLASS_LONG_RUNNING;
-      b->rank = (double) b->occ->due_at;
+      ready->class = CLASS_LONG_RUNNING;
+      ready->rank = (double) ready->occ->due_at;
     }
   else if (job->over_rate)
     {
-      b->class = CLASS_OVER_RATE;
-      b->rank = (double) b->occ->due_at;
+      ready->class = CLASS_OVER_RATE;
+      ready->rank = (double) ready->occ->due_at;
     }
-  else if (can_meet_objective (b->occ, o, now))
+  else if (can_meet_objective (ready->occ, remaining, now))
     {
-      b->class = CLASS_TIMELY;
-      b->rank = o->work / (BASE_VALUE_SHARE * mean + (1 - BASE_VALUE_SHARE) * o->total_work + 1);
+      ready->class = CLASS_TIMELY;
+      ready->rank
+          = remaining->work
+            / (BASE_VALUE_SHARE * mean + (1 - BASE_VALUE_SHARE) * remaining->total_work + 1);
     }
   else
     {
-      bool hopeless = now + (int64_t) o->chain_ms > b->occ->due_at + MAX_LATE_OBJECTIVES * allowed;
+      bool hopeless = now + (int64_t) remaining->chain_ms
+                      > ready->occ->due_at + MAX_LATE_OBJECTIVES * allowed;
 
-      b->class = hopeless ? CLASS_HOPELESS : CLASS_OVERDUE;
-      b->rank = (double) b->occ->due_at;
+      ready->class = hopeless ? CLASS_HOPELESS : CLASS_OVERDUE;
+      ready->rank = (double) ready->occ->due_at;
     }
 }
 
@@ -226,20 +231,20 @@
 static void
 add_ready_steps (GArray *out, struct mt_occurrence *occ, int64_t now)
 {
-  struct remaining_work o;
+  struct remaining_work remaining;
   bool estimated = false;
 
   for (unsigned s = 0; s < occ->job->spec->n_steps; s++)
     {
-      struct ready_step b = { .occ = occ, .step = s };
+      struct ready_step ready = { .occ = occ, .step = s };
 
       if (occ->step_waiting[s] == 0 || !mt_occurrence_step_is_ready (occ, s))
         continue;
       if (!estimated)
-        o = estimate_remaining (occ);
+        remaining = estimate_remaining (occ);
       estimated = true;
-      classify (&b, &o, now);
-      g_array_append_val (out, b);
+      classify (&ready, &remaining, now);
+      g_array_append_val (out, ready);
     }
 }
 
@@ -252,7 +257,7 @@
   GPtrArray *workers;
   double mean_slowness;
   struct mt_resources
-      unplaceable; /* needs that no worker could meet; equal or larger ones are skipped */
+      unplaceable; /* need that no worker could meet; equal or larger needs are skipped */
   bool has_unplaceable;
   unsigned placed;
   unsigned max_placed; /* limit on placed */
@@ -296,8 +301,8 @@
   return cost;
 }
 
-/* If a suspect crashes its worker, all tasks there are lost. A new worker may be restarting
- * repeatedly and may be lost without the suspect's doing. */
+/* If a suspect crashes its worker, all tasks there are lost. A new worker may be one that keeps
+ * restarting: its loss would be counted against the suspect. */
 static double
 suspect_cost (const struct placement *placement, const struct mt_worker *w)
 {
@@ -326,7 +331,8 @@
   return cost + long_running_cost (placement, w, step);
 }
 
-/* The task is on its last attempt and still waits for a worker proved to be healthy. */
+/* Returns whether the task has one attempt left and still waits for a worker proved to be healthy.
+ */
 static bool
 is_last_attempt (const struct placement *placement, const struct mt_task *task)
 {
@@ -335,7 +341,7 @@
          && placement->now - task->state_since < LAST_ATTEMPT_WAIT_MS;
 }
 
-/* The worker's ticket stays valid long enough for a start to arrive. */
+/* Returns whether the worker's ticket stays valid long enough for a start to arrive. */
 static bool
 has_valid_ticket (const struct mt_step_tickets *tickets, const struct mt_worker *w, int64_t now)
 {
@@ -394,8 +400,9 @@
     tickets->request_pending = true;
 }
 
-/* In a surge thousands of tasks wait for resources that are not there. This rejects each of them by
- * a few comparisons instead of trying every worker. */
+/* Returns whether a need no larger than the step's has found no worker in this placing. In a surge
+ * this rejects thousands of waiting tasks by a few comparisons each, without trying every worker.
+ */
 static bool
 is_unplaceable (const struct placement *placement, const struct mt_step *step)
 {
@@ -409,7 +416,7 @@
 {
   const struct mt_step *step = mt_task_step (task);
 
-  /* Only if resources were the only obstacle. */
+  /* Returns if anything but resources may have kept the task from being placed. */
   if (step->fill || step->label != NULL || step->max_per_worker > 0 || task->avoided != NULL
       || task->occ->job->route->needs_tickets || task->attempts > 0)
     return;
@@ -417,7 +424,7 @@
   placement->unplaceable = step->need;
 }
 
-/* Makes placing run at that time, whatever else happens. */
+/* Makes sure that placing runs at that time. */
 static void
 schedule_placing (const struct placement *placement, int64_t at)
 {
@@ -427,8 +434,8 @@
     sched->place_at = at;
 }
 
-/* No worker was found for a suspect. Holds are sent to all workers, so that those that answer in
- * time can be used at the next attempt. */
+/* Schedules another attempt to place a suspect, and holds to all workers: those that answer by then
+ * can be used. */
 static void
 retry_isolation (const struct placement *placement)
 {
@@ -441,7 +448,7 @@
   schedule_placing (placement, placement->now + SUSPECT_RETRY_MS);
 }
 
-/* Returns false once no worker has resources for the step: its other tasks need not be tried. */
+/* Returns false if no worker has resources for the step: its other tasks need not be tried. */
 static bool
 place_task (struct placement *placement, struct mt_task *task)
 {
@@ -468,8 +475,8 @@
         retry_isolation (placement);
       if (task->occ->job->route->needs_tickets)
         request_tickets (placement->sched, task, placement->now);
-      /* A suspect needs a worker to be isolated on; the other tasks of its step may still find
-       * resources. */
+      /* A suspect needs a worker without other jobs' unsettled runs; the other tasks of its step
+       * may still be placed. */
       return task->suspect && !mt_task_step (task)->gang;
     }
   mt_task_place (placement->sched, task, w, placement->now);
@@ -516,11 +523,12 @@
     undo_placing (placement->sched, &tasks[placed], placement->now);
 }
 
-/* Limits placing to what a full link can carry. A start that waits for the link already occupies
- * its worker's resources: without the limit a surge's tasks would reserve a hundred idle
+/* Returns the number of tasks that may be placed now. Behind a full link it is limited to
+ * MAX_UNSENT_STARTS waiting starts, and excess starts are withdrawn: a start that waits for the
+ * link occupies its worker's resources, so the tasks of a surge would reserve a hundred idle
  * machines. */
 static unsigned
-link_limit (struct mt_scheduler *sched, int64_t now)
+limit_placing_to_link (struct mt_scheduler *sched, int64_t now)
 {
   GList *before;
 
@@ -540,14 +548,14 @@
 }
 
 static void
-place_ready_step (struct placement *placement, const struct ready_step *b)
+place_ready_step (struct placement *placement, const struct ready_step *ready)
 {
-  const struct mt_step *step = &b->occ->job->spec->steps[b->step];
-  struct mt_task *tasks = &b->occ->tasks[b->occ->step_first[b->step]];
+  const struct mt_step *step = &ready->occ->job->spec->steps[ready->step];
+  struct mt_task *tasks = &ready->occ->tasks[ready->occ->step_first[ready->step]];
 
   if (step->gang)
     {
-      place_gang (placement, b->occ, b->step);
+      place_gang (placement, ready->occ, ready->step);
       return;
     }
   for (unsigned i = 0; i < step->count && placement->placed < placement->max_placed; i++)
@@ -576,9 +584,10 @@
 update_mean_work (struct mt_occurrence *occ)
 {
   struct mt_route *route = occ->job->route;
-  struct remaining_work o = estimate_remaining (occ);
+  struct remaining_work remaining = estimate_remaining (occ);
 
-  route->mean_work += (route->mean_work == 0 ? 1.0 : 1.0 / 32) * (o.total_work - route->mean_work);
+  route->mean_work
+      += (route->mean_work == 0 ? 1.0 : 1.0 / 32) * (remaining.total_work - route->mean_work);
 }
 
 static void
@@ -596,8 +605,8 @@
   occ->shortage_since = 0;
 }
 
-/* Records how long jobs lacked resources, so that a late job can be attributed to a lack of
- * resources or to repeated runs. */
+/* Records how long jobs lacked resources. It shows whether a late job is due to a lack of resources
+ * or to repeated runs. */
 static void
 update_shortages (struct mt_scheduler *sched, int64_t now)
 {
@@ -612,10 +621,10 @@
 }
 
 static bool
-is_over_quota (const struct placement *placement, const struct ready_step *b)
+is_over_quota (const struct placement *placement, const struct ready_step *ready)
 {
-  return !mt_account_allows (placement->sched, b->occ->job->account,
-                             &b->occ->job->spec->steps[b->step], placement->now);
+  return !mt_account_allows (placement->sched, ready->occ->job->account,
+                             &ready->occ->job->spec->steps[ready->step], placement->now);
 }
 
 void
@@ -627,7 +636,7 @@
   if (sched->first_placed_at == 0)
     sched->first_placed_at = now;
   sched->place_at = 0;
-  placement.max_placed = link_limit (sched, now);
+  placement.max_placed = limit_placing_to_link (sched, now);
 
   find_workers (&placement);
   for (GList *l = sched->open.head; l != NULL; l = l->next)
@@ -649,14 +658,14 @@
   g_array_sort (ready_steps, compare_ready_steps);
   for (guint i = 0; i < ready_steps->len; i++)
     {
-      const struct ready_step *b = &g_array_index (ready_steps, struct ready_step, i);
+      const struct ready_step *ready = &g_array_index (ready_steps, struct ready_step, i);
 
       if (placement.workers->len > 0 && placement.placed < placement.max_placed)
-        place_ready_step (&placement, b);
-      /* Tasks that wait for the link or for their quota don't lack resources. */
-      b->occ->step_unplaced[b->step]
-          = placement.placed < placement.max_placed && !is_over_quota (&placement, b)
-                ? b->occ->step_waiting[b->step]
+        place_ready_step (&placement, ready);
+      /* Tasks that wait for the link or for a quota don't lack resources. */
+      ready->occ->step_unplaced[ready->step]
+          = placement.placed < placement.max_placed && !is_over_quota (&placement, ready)
+                ? ready->occ->step_waiting[ready->step]
                 : 0;
     }
   update_shortages (sched, now);
--- a/core/scheduler/scheduler_record.c
+++ b/core/scheduler/scheduler_record.c
@@ -8,9 +8,9 @@
 #include <string.h>
 
 /* Columns of the rows of "t": occurrence, step, index, run, failed attempts, worker, the worker's
- * start time, checkpoint, runs lost with their worker, those of them that had begun, whether the
- * task is a suspect, whether its run has begun. An empty worker means that nothing of the task can
- * run. */
+ * start time, checkpoint, runs lost with their worker, those of them lost shortly after they began,
+ * whether the task is a suspect, whether its run has begun. An empty worker means that no run of
+ * the task can be active. */
 enum column
 {
   COLUMN_OCCURRENCE,
@@ -150,16 +150,16 @@
     return;
   task->run = (uint32_t) json_integer_value (json_array_get (row, COLUMN_RUN));
   task->attempts = (uint8_t) json_integer_value (json_array_get (row, COLUMN_ATTEMPTS));
-  mt_task_keep_checkpoint (task, json_string_value (json_array_get (row, COLUMN_CHECKPOINT)));
+  mt_task_set_checkpoint (task, json_string_value (json_array_get (row, COLUMN_CHECKPOINT)));
   task->losses = (uint8_t) json_integer_value (json_array_get (row, COLUMN_LOSSES));
   task->crashes = (uint8_t) json_integer_value (json_array_get (row, COLUMN_CRASHES));
   task->suspect = json_integer_value (json_array_get (row, COLUMN_SUSPECT)) != 0;
   if (worker == NULL || worker[0] == '\0')
     return;
-  w = mt_scheduler_worker (sched, worker);
+  w = mt_scheduler_get_worker (sched, worker);
   if (started_at != 0 && w->started_at != 0 && w->started_at != started_at)
     {
-      /* That incarnation has ended, and the run with it. */
+      /* The run's incarnation of the worker has ended, and the run with it. */
       task->losses += task->losses < G_MAXUINT8;
       task->crashes += begun && task->crashes < G_MAXUINT8;
       task->suspect = true;
@@ -206,9 +206,9 @@
       job->durable_state = state;
       job->dirty = false; /* the record is already stored */
     }
-  /* A cancellation read from the queue may have ended the job before its runs were known, whatever
-   * state the record has. They would run on for ever, as they are neither orphaned nor part of an
-   * open job. */
+  /* Whatever state the record has, a cancellation read from the queue may have ended the job before
+   * its runs were known. Unless stopped here, they would run for ever: they are neither orphaned
+   * nor part of an open job. */
   if (job->ended_at != 0)
     mt_job_stop_tasks (sched, job, now);
   else
--- a/core/scheduler/scheduler_tasks.c
+++ b/core/scheduler/scheduler_tasks.c
@@ -149,7 +149,7 @@
   mt_job_mark_dirty (sched, task->occ->job);
 }
 
-/* The run has ended and the task has to run again. */
+/* To be called when the task's run has ended or never began: the task has to run again. */
 void
 mt_task_set_waiting (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
@@ -166,8 +166,8 @@
   mt_job_complete_if_done (sched, task->occ->job, now);
 }
 
-/* Stops a run that is active or may be. A task that was only placed has not been sent and waits
- * again. */
+/* Stops a run that is or may be active. A task that was only placed, and is not being written, was
+ * never sent: it is set waiting again. */
 void
 mt_task_stop (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
@@ -190,7 +190,7 @@
 }
 
 void
-mt_task_keep_checkpoint (struct mt_task *task, const char *checkpoint)
+mt_task_set_checkpoint (struct mt_task *task, const char *checkpoint)
 {
   if (checkpoint == NULL || checkpoint[0] == '\0' || g_strcmp0 (task->checkpoint, checkpoint) == 0)
     return;
--- a/core/scheduler/scheduler_watch.c
+++ b/core/scheduler/scheduler_watch.c
@@ -1,23 +1,24 @@
-/* Stalled tasks, stops without an answer, moves off draining workers, and workers lost for good. */
+/* Checks for stalled tasks, stops without an answer and lost workers; moves off draining workers.
+ */
 #include "scheduler_internal.h"
 
-#define CHECK_INTERVAL_MS 50 /* between two checks of all workers */
-/* A task whose progress has not changed for this multiple of its expected run time has stalled, but
- * never before the minimum. Progress is read with each hold, at least once a second. */
+#define CHECK_INTERVAL_MS 50 /* interval of the checks of all workers */
+/* A task has stalled when its progress has not changed for this multiple of its expected run time,
+ * and for at least the minimum. Progress is read with each hold, at least once a second. */
 #define STALL_FACTOR 1.0
 #define MIN_STALL_MS 2200
-/* A long-running task that is not at work after this long is started elsewhere. */
+/* A long-running task whose progress stays below 100% for this long is started elsewhere. */
 #define MAX_LONG_RUNNING_START_MS 6000
-/* On a worker that leaves, long-running tasks are moved within max_unavailable for this long, then
- * all at once: a task that is still there when the worker is gone has lost more. */
+/* On a leaving worker, long-running tasks are moved within max_unavailable for this time, then all
+ * at once: a task that is still there when the worker is gone is unavailable for longer. */
 #define LEAVING_MOVES_MS 1000
 
-/* A task that is expected to end within this stays on a draining worker: moving it costs 200 to 300
- * ms. */
+/* A task that is expected to end within this time is not moved off a draining worker: a move costs
+ * 200 to 300 ms. */
 #define MIN_MOVE_REMAINING_MS 400
 
-/* Stops a stalled task, which then runs elsewhere: the caller gets nothing from a stalled run. This
- * costs the run's work since its last checkpoint. */
+/* Stops a stalled task, so that it runs elsewhere: a stalled run gives its caller no result. The
+ * work since its last checkpoint is lost. */
 static void
 stop_if_stalled (struct mt_scheduler *sched, struct mt_worker *w, struct mt_task *task, int64_t now)
 {
@@ -32,9 +33,9 @@
       bound = MAX_LONG_RUNNING_START_MS;
     }
   /* Only listings report progress. If listings are lost while orders are answered, the known
-   * progress is old, and a task that works would be stopped and its caller would wait for another
-   * run. So the last listing must have shown the task stalled for the whole bound, less the wait
-   * for the next listing. */
+   * progress is old. By it alone a working task would be stopped, and its caller would wait for
+   * another run. So the last listing must have shown the task stalled for the whole bound, less the
+   * time until the next listing. */
   if (task->pace < 100 || now - task->progress_at < bound
       || w->listing_at - task->progress_at < bound - MT_HOLD_WAIT_MS)
     return;
@@ -59,8 +60,9 @@
     }
 }
 
-/* A worker that does not answer may have stopped working long ago. A worker that the previous
- * leader told to stop a run lists the run as at work until the stop takes effect. */
+/* Returns whether the long-running task may be unavailable. A worker that does not answer may have
+ * stopped working long ago. A run that the previous leader has ordered to stop is listed as working
+ * until the stop takes effect. */
 static bool
 is_unavailable (const struct mt_task *task, int64_t now)
 {
@@ -68,8 +70,8 @@
          || now < task->predecessor_stop_by;
 }
 
-/* Moves a long-running task off a worker that leaves or is drained, while others of its step are at
- * work: no more than max_unavailable may be unavailable at once. */
+/* Moves a long-running task off a worker that leaves or is drained, while enough other tasks of its
+ * step are available: no more than max_unavailable may be unavailable at once. */
 static void
 move_long_running (struct mt_scheduler *sched,
                    struct mt_worker *w,
@@ -88,11 +90,12 @@
 
       unavailable += other != task && is_unavailable (other, now);
     }
-  /* Stopped without another worker to run on, the task would be unavailable until one comes. On a
-   * worker that leaves it is lost anyway. */
+  /* Without another worker to run on, the stopped task would be unavailable until there is one. On
+   * a leaving worker it is lost anyway. */
   if (!w->leaving && !mt_task_can_run_elsewhere (sched, task, now))
     return;
-  /* A task that is unavailable itself waits too: its known state may be as old as one hold. */
+  /* This also holds for a task that seems unavailable itself: its known state may be as old as one
+   * hold. */
   if (unavailable >= MAX (step->max_unavailable, 1U)
       && (!w->leaving || now - w->leaving_since < LEAVING_MOVES_MS))
     return;
@@ -101,7 +104,7 @@
   mt_task_stop (sched, task, now);
 }
 
-/* The task can continue elsewhere from where it is stopped. */
+/* Returns whether the task can be stopped and continue elsewhere from its checkpoint. */
 static bool
 is_movable (const struct mt_task *task)
 {
@@ -111,7 +114,7 @@
          && task->state == MT_TASK_RUNNING;
 }
 
-/* Time until the tasks that can't be moved have ended. */
+/* Returns the time until the tasks that can't be moved have ended. */
 static int64_t
 unmovable_remaining_ms (const struct mt_worker *w, int64_t now)
 {
@@ -123,8 +126,8 @@
   return longest;
 }
 
-/* A draining worker is needed elsewhere, or leaves: a task that alone would keep it for long is
- * stopped and continues where there are resources. */
+/* Stops tasks that alone would delay the drain of their worker, which is needed elsewhere or
+ * leaves. They continue on workers with free resources. */
 static void
 move_checkpointed (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
 {
@@ -155,9 +158,9 @@
     {
       w->cordon_until = 0;
       w->move_long_running = false;
-      /* The leader that cordoned the worker may have had its machine moved and died before
-       * reporting it. The worker accepts work again only after an answer; otherwise a task could
-       * wait there for the longest lease. */
+      /* The fleet leader that cordoned the worker may have moved its machine and died before it
+       * reported the move. So the worker accepts work again only after an answer; a task placed on
+       * it could otherwise wait for the longest lease. */
       w->confirmed = false;
       w->next_hold_at = now;
       sched->changed = true;
@@ -170,13 +173,13 @@
   if (w->tasks.length == 0)
     return;
   /* A worker that does not answer, or is not registered, may still run its tasks. They are released
-   * once its last lease has expired on the slowest clock; sooner, a task could run twice. If our
-   * own link is late, the worker may have completed them without being able to report it: they are
-   * not released before it could be asked in time. */
+   * once its last lease has expired by the slowest possible clock; before that, a task could run
+   * twice. While the owner's link is late they are not released: the worker may have completed them
+   * without being able to report it. */
   if ((w->silent_since != 0 || w->address == NULL) && now > w->lease_end
       && !mt_scheduler_is_link_late (sched, now))
     {
-      mt_worker_release_tasks (sched, w, false, now, "lease over");
+      mt_worker_release_tasks (sched, w, false, now, "lease expired");
       return;
     }
   for (GList *l = w->tasks.head; l != NULL; l = next)
--- a/core/scheduler/scheduler_workers.c
+++ b/core/scheduler/scheduler_workers.c
@@ -3,16 +3,16 @@
 #include <math.h>
 #include <string.h>
 
-/* Half-life of a worker's recorded outcomes. */
+/* Half-life of the outcomes recorded for a worker. */
 #define OUTCOME_HALF_LIFE_MS 6000.0
-/* At least this many failures, and more than successes, are attributed to the worker instead of its
- * tasks. */
+/* A worker with at least this many recent failures, and more failures than successes, is avoided:
+ * the failures are attributed to the worker and not to its tasks. */
 #define MIN_UNHEALTHY_FAILURES 2.0
 #define FIRST_AVOID_MS         1500
 #define MAX_AVOID_MS           12000
 
 struct mt_worker *
-mt_scheduler_worker (struct mt_scheduler *sched, const char *id)
+mt_scheduler_get_worker (struct mt_scheduler *sched, const char *id)
 {
   struct mt_worker *w = g_hash_table_lookup (sched->workers, id);
 
@@ -35,11 +35,12 @@
   return false;
 }
 
-/* A new incarnation: the runs, ends and clock of the previous one are gone. */
+/* Resets the worker for a new incarnation: the runs, ends and clock of the previous one are gone.
+ */
 static void
 begin_incarnation (struct mt_scheduler *sched, struct mt_worker *w, int64_t started_at, int64_t now)
 {
-  mt_worker_release_tasks (sched, w, true, now, "reborn");
+  mt_worker_release_tasks (sched, w, true, now, "restarted");
   w->started_at = started_at;
   w->listed_since = now;
   w->ended = w->leaving = false;
@@ -55,8 +56,8 @@
   w->next_hold_at = 0;
 }
 
-/* A start that was never sent is placed elsewhere at once. A start to be resent may have begun its
- * run, which is stopped. */
+/* Withdraws a queued start. If it was never sent, the task can be placed elsewhere at once. If it
+ * was to be resent, its run may have begun and is stopped. */
 static void
 withdraw_start (struct mt_scheduler *sched, struct mt_task *task, int64_t now)
 {
@@ -68,7 +69,8 @@
     mt_task_set_waiting (sched, task, now);
 }
 
-/* A start sent to a leaving worker is lost with it, and its caller waits for another one. */
+/* Withdraws starts from a worker that leaves: a start sent now would be lost with the worker, and
+ * the caller would wait for another one. */
 static void
 handle_leaving (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
 {
@@ -84,8 +86,8 @@
     }
 }
 
-/* Withdraws starts from a worker that has shrunk, the last placed first: the worker starts whatever
- * it is sent, with or without the resources. */
+/* Withdraws starts from a worker that has shrunk, the last placed first: the worker would carry
+ * them out even without enough resources. */
 static void
 handle_shrinking (struct mt_scheduler *sched, struct mt_worker *w, int64_t now)
 {
@@ -114,7 +116,7 @@
                             const struct mt_worker_entry *entry,
                             int64_t now)
 {
-  struct mt_worker *w = mt_scheduler_worker (sched, entry->id);
+  struct mt_worker *w = mt_scheduler_get_worker (sched, entry->id);
   bool resized;
 
   if (entry->started_at_ms != 0 && w->started_at != 0 && entry->started_at_ms > w->started_at)
@@ -219,7 +221,6 @@
                           age_or_unknown (w->start_sent_at, now));
 }
 
-/* Sets every task of a worker waiting. Nothing can run on the worker any more. */
 void
 mt_worker_release_tasks (struct mt_scheduler *sched,
                          struct mt_worker *w,
@@ -303,9 +304,9 @@
   return false;
 }
 
-/* A worker that fails tasks which others complete takes no work for a while, longer each time; then
- * one or two tasks try it again. Outcomes of all jobs are combined: a job that can't succeed fails
- * on every worker. */
+/* A worker that fails tasks which others complete gets no work for a while, longer each time, and
+ * then at first only MAX_TRIAL_TASKS. The outcomes of all jobs are combined: a job that can't
+ * succeed fails on every worker. */
 void
 mt_worker_record_outcome (struct mt_scheduler *sched,
                           struct mt_worker *w,
@@ -333,16 +334,16 @@
 
 /* ---- leases ---- */
 
-/* The lowest value that the worker's clock may have now. */
+/* Returns the lowest reading that the worker's clock may have now. */
 static int64_t
 min_clock_ms (const struct mt_worker *w, int64_t now)
 {
   return w->clock_ms + (now - w->clock_at) * (1000 - MT_CLOCK_DRIFT_PER_MILLE) / 1000;
 }
 
-/* An answer that was long under way carries an old reading of the clock. Taken as current, it would
- * shorten each lease by the transit time, and the leases of runs behind a slow link would expire: a
- * reading counts only if it is above the known lower bound. */
+/* Takes a reading of the worker's clock, unless it is below the known lower bound: the answer was
+ * then under way for long and the reading is old. Taken as current, it would shorten each lease by
+ * the transit time, and the leases of runs behind a slow link would expire. */
 void
 mt_worker_update_clock (struct mt_worker *w, int64_t clock_ms, int64_t now)
 {
@@ -352,15 +353,16 @@
   w->clock_at = now;
 }
 
-/* On the worker's clock, from its lowest possible value, so that no lease is longer than
- * intended. */
+/* Returns the end of a lease granted now, on the worker's clock; 0 if the clock is unknown. It
+ * counts from the clock's lowest possible reading, so that no lease is longer than intended. */
 int64_t
 mt_worker_lease_end (const struct mt_worker *w, int64_t now, int64_t lease_ms)
 {
   return w->clock_at != 0 ? min_clock_ms (w, now) + lease_ms : 0;
 }
 
-/* Counted from sending, answered or not: an order without an answer may have arrived. */
+/* Extends lease_end for a lease that is being sent, answered or not: an order without an answer may
+ * have arrived. */
 void
 mt_worker_record_lease (struct mt_worker *w, int64_t lease_ms, int64_t now)
 {
