--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -15,18 +15,19 @@
 #define LEASE_MS          1500
 #define RENEW_INTERVAL_MS 450
 #define RENEW_TIMEOUT_MS  400
-/* After an unanswered renewal: finds out sooner that the store is back or has ended the lease. */
+/* Interval of renewals while they are unanswered. A shorter one shows sooner that the store is back
+ * or has ended the lease. */
 #define RENEW_RETRY_MS 120
 /* Renewals in flight at once; more would only queue behind a store that does not answer. */
 #define MAX_RENEWALS_IN_FLIGHT 3U
-/* The lease counts as expired this long before it can be, to allow for clocks that run apart. */
+/* The lease counts as expired this long before its end, to allow for clock drift. */
 #define LEASE_MARGIN_MS 150
-/* Longest wait of a watch on members and leaderships; a change ends it. */
+/* Longest wait of the watch on members and leaderships; a change ends the wait. */
 #define WATCH_WAIT_MS 5000
-/* Interval of the periodic check: a free leadership is noticed at most this long after its turn by
- * rank. */
+/* Interval of the periodic check: a free leadership is claimed at most this long after this
+ * daemon's turn by rank. */
 #define TICK_MS 60
-/* In a large cluster all daemons beyond this rank claim at the same time: a free leadership must
+/* Highest rank. In a large cluster all daemons beyond it claim at the same time: a leadership must
  * not stay free for seconds. */
 #define MAX_RANK 8U
 /* Time-out of writes to the store, half a lease: a membership write that takes longer is of no
@@ -36,12 +37,12 @@
 struct leadership
 {
   char *name;
-  int64_t token;    /* fencing token while this daemon holds it, else 0 */
-  int64_t revision; /* of the key as last seen; 0 if the leadership is free */
-  char *holder;     /* address of the holder */
-  int64_t free_since;
+  int64_t token;      /* fencing token while this daemon holds it, else 0 */
+  int64_t revision;   /* of the key as last seen; 0 if the leadership is free */
+  char *holder;       /* address of the holder */
+  int64_t free_since; /* 0: this daemon held it until its own lease ended */
   bool call_in_flight;
-  bool configured;
+  bool configured; /* named in the last mt_cluster_set_leaderships */
 };
 
 struct member
@@ -63,17 +64,17 @@
   struct mt_timer *tick;
   GHashTable *members;     /* name -> struct member */
   GHashTable *leaderships; /* name -> struct leadership */
-  bool listed;
-  int64_t joined_at; /* when this daemon's member key was last written */
+  bool listed;             /* the watch has read all keys once */
+  int64_t joined_at;       /* when this daemon's member key was last written */
 
   int64_t lease;
   int64_t lease_valid_until;
-  int64_t renewed; /* unused */
-  int64_t renew_sent_at;
+  int64_t renewed;       /* unused */
+  int64_t renew_sent_at; /* when the last grant or renewal was requested */
   unsigned renewals_in_flight;
   bool last_renewal_unanswered;
   bool grant_in_flight;
-  bool joined;
+  bool joined; /* the member key was written under the current lease */
   bool join_in_flight;
 
   bool leaving;
@@ -154,7 +155,7 @@
   g_free (l->holder);
   l->holder = g_strndup (item->value.data, item->value.len);
   if (l->token != 0 && item->revision > l->token)
-    drop_leadership (c, l, "another daemon claimed it");
+    drop_leadership (c, l, "another daemon claimed the leadership");
 }
 
 static void
@@ -167,7 +168,7 @@
   g_free (m);
 }
 
-/* "IP:PORT ZONE CORES" */
+/* value: "IP:PORT ZONE CORES" */
 static void
 update_member (struct mt_cluster *c, const char *name, struct mt_str value)
 {
@@ -205,8 +206,9 @@
 
 /* ---- lease ---- */
 
-/* The keys under an ended lease are gone. A daemon that held a leadership claims it again without
- * waiting for its rank: after an outage that ended all leases nobody is ahead of it. */
+/* Marks the leaderships held under an ended lease as free, since their keys are deleted with the
+ * lease. This daemon claims them again without waiting for its rank: after an outage that ended all
+ * leases no other daemon has precedence. */
 static void
 clear_own_keys (struct mt_cluster *c)
 {
@@ -257,8 +259,8 @@
   g_free (r);
 }
 
-/* While renewals are not answered, several are in flight at a time: the daemon then notices at once
- * that the store is back, and not only after the last renewal's time-out. */
+/* While renewals are unanswered, several are in flight at a time: the daemon then notices at once
+ * that the store is back, and not only after the time-out of the last renewal. */
 static void
 renew_lease (struct mt_cluster *c, int64_t now)
 {
@@ -351,7 +353,7 @@
   const char *name;
   const struct member *m;
   size_t at = 0;
-  size_t self = n; /* this daemon's own key is not seen yet */
+  size_t self = n; /* unless this daemon's own key is found */
 
   g_hash_table_iter_init (&it, c->members);
   for (; g_hash_table_iter_next (&it, (void **) &name, (void **) &m); at++)
@@ -366,42 +368,43 @@
   return MIN (before, MAX_RANK);
 }
 
-struct attempt
+/* A write of a leadership key in flight. */
+struct leadership_call
 {
   struct mt_cluster *cluster;
   char *leadership;
   int64_t lease;
 };
 
-static struct attempt *
-new_attempt (struct mt_cluster *c, struct leadership *l)
+static struct leadership_call *
+begin_leadership_call (struct mt_cluster *c, struct leadership *l)
 {
-  struct attempt *a = g_new0 (struct attempt, 1);
+  struct leadership_call *call = g_new0 (struct leadership_call, 1);
 
   l->call_in_flight = true;
-  *a = (struct attempt){ c, g_strdup (l->name), c->lease };
-  return a;
+  *call = (struct leadership_call){ c, g_strdup (l->name), c->lease };
+  return call;
 }
 
-/* Frees the attempt. Returns its leadership. */
+/* Frees the call and returns its leadership. */
 static struct leadership *
-end_attempt (struct attempt *a)
+end_leadership_call (struct leadership_call *call)
 {
-  struct leadership *l = get_leadership (a->cluster, a->leadership);
+  struct leadership *l = get_leadership (call->cluster, call->leadership);
 
   l->call_in_flight = false;
-  g_free (a->leadership);
-  g_free (a);
+  g_free (call->leadership);
+  g_free (call);
   return l;
 }
 
 static void
 on_claimed (void *data, const struct mt_kv_reply *reply)
 {
-  struct attempt *a = data;
-  struct mt_cluster *c = a->cluster;
-  bool same_lease = c->lease == a->lease;
-  struct leadership *l = end_attempt (a);
+  struct leadership_call *call = data;
+  struct mt_cluster *c = call->cluster;
+  bool same_lease = c->lease == call->lease;
+  struct leadership *l = end_leadership_call (call);
 
   if (reply->status == MT_KV_OK && same_lease && reply->revision >= l->revision)
     {
@@ -434,18 +437,18 @@
   struct mt_kv_put put = { .key = key, .value = mt_str_from (c->address), .lease = c->lease };
   struct mt_kv_txn txn = { &expect, 1, &put, 1, NULL, 0 };
 
-  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_claimed, new_attempt (c, l));
+  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_claimed, begin_leadership_call (c, l));
 }
 
 static void
 on_stale_key_deleted (void *data, const struct mt_kv_reply *reply)
 {
-  end_attempt (data);
+  end_leadership_call (data);
 }
 
 /* Deletes a key that names this daemon although it does not hold the leadership: the key is from
- * before a restart, or the leadership was given up. No other daemon would claim it before that
- * lease expires. */
+ * before a restart, or the leadership was dropped. Otherwise no daemon could claim the leadership
+ * before the key's lease expires. */
 static void
 delete_stale_key (struct mt_cluster *c, struct leadership *l)
 {
@@ -454,7 +457,7 @@
   struct mt_kv_expect expect = { key, l->revision };
   struct mt_kv_txn txn = { &expect, 1, NULL, 0, &remove, 1 };
 
-  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_stale_key_deleted, new_attempt (c, l));
+  mt_kv_write (&c->kv, &txn, TXN_TIMEOUT_MS, on_stale_key_deleted, begin_leadership_call (c, l));
 }
 
 static void
@@ -482,7 +485,7 @@
       if (mt_leader_may_acquire (&candidacy, now))
         {
           claim_leadership (c, l);
-          return; /* one at a time: the number held counts for the next rank, which spreads them */
+          return; /* one per tick: the number held counts in the next rank, to spread them */
         }
     }
 }
--- a/fleet/fleet.c
+++ b/fleet/fleet.c
@@ -24,24 +24,25 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Longest wait of the configuration's watch. A change must be in force within 2 s even if a watch
- * went silent, which is noticed after this wait. */
+/* Longest wait of the watch on the configuration. A change must be in force within 2 s even if a
+ * watch gets no answer, which is noticed after this time. */
 #define CONFIG_WAIT_MS 1000
 /* A daemon that has had no answer from the store for this long can accept nothing and is not
  * ready. */
 #define STORE_SILENT_MS 2500
-/* Interval of housekeeping; readiness, and whether the store is lost, lag by up to this. */
+/* Interval of housekeeping; the loss and the return of the store are logged at most this late. */
 #define HOUSEKEEPING_MS 500
 /* Interval of the POOL_LOAD events. */
 #define LOAD_LOG_INTERVAL_MS 1000
 /* A stopping daemon goes on serving for this long after it reports that it is not ready: two
  * readiness checks a second apart plus their time on the network. */
 #define LINGER_MS 2600
-/* Part of the grace period that is kept for the answers in flight to arrive before the daemon is
- * killed. */
+/* A stopping daemon exits this long before the end of the grace period, so that answers in flight
+ * arrive before it is killed. */
 #define GRACE_MARGIN_MS 500
-/* Duration of worker leases. It must be well above that of a takeover: 1.5 s until a dead leader's
- * lease expires, then under 1 s until its successor has renewed the lease of every worker. */
+/* Duration of worker leases. It must be well above the duration of a takeover: 1.5 s until a dead
+ * leader's lease expires, then less than 1 s until its successor has renewed the lease of every
+ * worker. */
 #define WORKER_LEASE_MS 4500
 
 static const char *const fleet_leadership = "fleet";
@@ -65,8 +66,8 @@
   struct mt_peer_service peer_service;
   struct mt_frontend *frontend;
   struct mt_http_front *front;
-  struct mt_http_front *ready;
-  struct mt_http_front *scrape;
+  struct mt_http_front *ready;  /* readiness checks */
+  struct mt_http_front *scrape; /* metrics; NULL if they have no port */
   struct mt_roster *roster;
   struct mt_watcher *config_watch;
   struct mt_fleet_config *config;
@@ -74,7 +75,7 @@
   struct mt_fleet_leader *leader; /* NULL unless this daemon holds the fleet's leadership */
   struct mt_timer *housekeeping;
   struct event *signals[4];
-  bool store_lost;
+  bool store_lost; /* at the last housekeeping */
   int64_t loads_logged_at;
   bool stopping;
   bool has_left;
@@ -204,7 +205,7 @@
 }
 
 static void
-on_gained (void *ctx, const char *leadership, int64_t token)
+on_leadership_gained (void *ctx, const char *leadership, int64_t token)
 {
   struct mt_fleet *f = ctx;
   struct mt_roster_options roster_options = { .kv = mt_adapter_kv (f->platform),
@@ -242,7 +243,7 @@
 }
 
 static void
-on_lost (void *ctx, const char *leadership, const char *why)
+on_leadership_lost (void *ctx, const char *leadership, const char *why)
 {
   struct mt_fleet *f = ctx;
 
@@ -284,8 +285,8 @@
                   config->version, config->n_routes);
 }
 
-/* Ignores versions that are not newer than the current one: a late answer may carry an older
- * version. */
+/* Applies a new configuration. Versions that are not newer than the current one are ignored: a late
+ * answer may carry an older version. */
 static void
 on_config (void *ctx, const struct mt_kv_item *item)
 {
@@ -396,7 +397,7 @@
 /* ---- stop ---- */
 
 static void
-on_left (void *ctx)
+on_cluster_left (void *ctx)
 {
   ((struct mt_fleet *) ctx)->has_left = true;
 }
@@ -410,7 +411,7 @@
   f->stop_began = mt_loop_now ();
   mt_journal_log (f->journal, "FLEET_STOPPING", "requests=%u", mt_frontend_in_flight (f->frontend));
   mt_http_front_close_after_answers (f->front);
-  mt_cluster_leave (f->cluster, on_left, f);
+  mt_cluster_leave (f->cluster, on_cluster_left, f);
 }
 
 static bool
@@ -455,8 +456,8 @@
                                        .advisor = s->advisor.data };
 }
 
-/* Reloads what can change at run time: the platform's addresses and the bounds. A pool that is
- * already led gets new bounds only when its leadership is next taken. */
+/* Reloads the settings that can change at run time: the platform's addresses and the bounds. New
+ * bounds apply to a pool that this daemon leads only after its leadership is next acquired. */
 static void
 reload_settings (struct mt_fleet *f)
 {
@@ -510,8 +511,8 @@
                                         .address = address,
                                         .zone = f->settings->zone.data,
                                         .cores = f->settings->cores,
-                                        .gained = on_gained,
-                                        .lost = on_lost,
+                                        .gained = on_leadership_gained,
+                                        .lost = on_leadership_lost,
                                         .ctx = f };
 
   f->cluster = mt_cluster_create (f->base, mt_adapter_kv (f->platform), &options);
@@ -654,8 +655,8 @@
   mt_journal_flush (f->journal);
 }
 
-/* Ends calls first, because their callbacks use parts that must still exist; then destroys the
- * parts, each before those that it uses. */
+/* Ends the calls first, because their callbacks use other parts; then destroys each part before the
+ * parts that it uses. */
 void
 mt_fleet_destroy (struct mt_fleet *f)
 {
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -13,21 +13,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Interval at which pools are queried, and so how late a surge is noticed. */
+/* Interval at which pools are queried, and so the longest delay until a surge is noticed. */
 #define TICK_MS 150
-/* Interval while a pool is short of resources or a machine is to be drained: draining one takes
- * three rounds of query and reply, and callers of the overloaded pool wait for all of them. */
+/* Interval of queries while a pool is short of machines or a machine is to be drained: draining one
+ * takes three rounds of query and reply, and callers of the overloaded pool wait for all of them.
+ */
 #define TICK_PRESSURE_MS 75
 /* Intervals at which machines are listed: while orders or waves are in progress, and otherwise. */
 #define LIST_MS      500
 #define LIST_IDLE_MS 4000
-/* Longest wait of the watch on waves; a change ends it. */
+/* Longest wait of the watch on waves; a change ends the wait. */
 #define WAVES_WAIT_MS 2500
 /* Time-out of a pool's report; the pool is queried again at the next tick. */
 #define REPORT_TIMEOUT_MS 400
 /* Time-out of reads and writes of the store. A write without an answer is sent again unchanged. */
 #define TXN_TIMEOUT_MS 800
-/* Cordons and directives expire after this time unless renewed: the fleet controller may be
+/* Cordons and other directives expire after this time unless renewed: the fleet leader may be
  * gone. */
 #define DIRECTIVE_TTL_MS 1200
 #define PROGRESS_PREFIX  "medlartrack/wave/"
@@ -37,7 +38,7 @@
 {
   struct mt_wave *request;
   int64_t number;
-  int64_t seen_wall_ms; /* Unix time in ms when any fleet controller first saw it */
+  int64_t seen_wall_ms; /* Unix time in ms at which a fleet leader first saw the wave */
   char **done;          /* ids of the machines that are done, as stored */
   bool progress_read;   /* the stored progress has been read */
   bool active_written;
@@ -56,14 +57,14 @@
   struct mt_watcher *watch;
   struct mt_timer *tick;
   GHashTable *waves; /* key -> struct wave */
-  GPtrArray *pools;  /* names, without standby pools */
+  GPtrArray *pools;  /* names of the pools, without standby pools */
   bool destroyed;
   bool list_in_flight;
   int64_t list_requested_at;
 
   bool homes_read; /* the stored home pools of machines have been read */
   bool homes_in_flight;
-  char **homes_sent;
+  char **homes_sent; /* as last written; see mt_controller_unstored_homes */
 };
 
 static struct mt_fleet_leader *
@@ -102,12 +103,12 @@
   g_rc_box_release_full (lead, clear_leader);
 }
 
-/* A call in flight with the key of its wave or the name of its pool. */
+/* A call in flight for a wave or a pool. */
 struct named_call
 {
   struct mt_fleet_leader *leader;
-  char *name;
-  uint64_t number; /* sequence number of the grant message that it carries */
+  char *name;      /* key of the wave or name of the pool */
+  uint64_t number; /* sequence number of the grant message in a query of a pool */
 };
 
 static struct named_call *
@@ -255,9 +256,9 @@
   free_named_call (call);
 }
 
-/* Writes the wave's progress, and its state for the operator: completed only once the fleet
- * controller has seen the maintenance of every machine begin. The precondition is that this daemon
- * still holds the leadership. */
+/* Writes the wave's progress, and its status for the operator: completed only once the maintenance
+ * of every machine has been seen to begin. The precondition is that this daemon still holds the
+ * leadership. */
 static void
 write_wave (struct mt_fleet_leader *lead, const char *key, struct wave *w)
 {
@@ -374,7 +375,7 @@
   mt_pool_report_clear (&report);
 }
 
-/* Orders what the report allows at once instead of at the next tick. */
+/* Applies the report, and sends the orders that it allows without waiting for the next tick. */
 static void
 on_report (void *ctx, const struct mt_mesh_args *args)
 {
@@ -439,8 +440,8 @@
   return g_strsplit (text, ",", 0);
 }
 
-/* Returns false for a message older than the last one: its sender must not take an answer to it for
- * an answer to a later message. */
+/* Returns false for a message that can't be read or is not newer than the last one. It gets no
+ * report, which its sender could take for an answer to a later message. */
 static bool
 apply_grants (struct mt_scheduler *sched, struct mt_str bytes, int64_t now)
 {
@@ -545,7 +546,8 @@
                          call);
 }
 
-/* Sends orders only while the lease is valid: later ones could contradict those of a successor. */
+/* Sends orders only while this daemon's lease is valid: after that they could contradict the orders
+ * of a successor. */
 static void
 send_orders (struct mt_fleet_leader *lead)
 {
--- a/fleet/pool.c
+++ b/fleet/pool.c
@@ -8,10 +8,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Least time between the starts of two write cycles; changes in between go into the next one. At a
- * surge of 440 tasks a second this makes some 30 writes a second instead of 880. */
+/* Shortest time between the starts of two write cycles; changes in between go into the next cycle.
+ * In a surge of 440 tasks a second this makes some 30 writes a second instead of 880. */
 #define CYCLE_MS 25
-/* Jobs of one transaction: each takes a precondition and a put, and the leadership takes one
+/* Most jobs in one transaction: each takes a precondition and a put, and the leadership takes one
  * precondition. */
 #define JOBS_PER_TXN 15
 /* Time-out of a write, which is then sent again; the store answers in 10 ms when it is not
@@ -20,19 +20,20 @@
 /* Delay before the retry. If the first write was done after all, the second one conflicts with
  * it. */
 #define TXN_RETRY_MS 60
-/* Interval at which the pool runs its scheduler if nothing else triggers it. */
+/* Interval at which the pool runs its scheduler if nothing else triggers it, with open jobs and
+ * without. */
 #define TICK_MS      20
 #define IDLE_TICK_MS 100
 /* Longest wait of the queue's watch. The watch is only a fallback: the daemon that accepts a
  * submission also sends it to the leader. */
 #define QUEUE_WATCH_WAIT_MS 2000
-/* Pause between two watches: each costs a call, and usually brings only what the leader was already
- * sent. */
+/* Pause between two watches: each costs a call, and usually returns only submissions that the
+ * leader has already received. */
 #define QUEUE_WATCH_PAUSE_MS 700
 /* Delay before a failed load of the pool is retried; nothing is placed until it succeeds. */
 #define RANGE_RETRY_MS 100
-/* How long after its own lease has expired a leader goes on renewing its workers' leases in an
- * outage. */
+/* How long after the expiry of its own lease a leader goes on renewing its workers' leases in a
+ * store outage. */
 #define MAX_OUTAGE_RENEWAL_MS 10000
 
 /* Reference-counted: one reference for the owner and one for each call in flight. */
@@ -49,13 +50,13 @@
   bool destroyed;
   bool queue_listed;
   bool loaded;
-  char *load_after;
+  char *load_after; /* key after which the next page begins; NULL: first page */
   struct mt_timer *load_timer;
 
   unsigned writes_remaining; /* unfinished transactions of the running cycle */
-  int64_t cycle_began;
+  int64_t cycle_began;       /* when the last cycle began */
   bool removal_in_flight;
-  bool in_wake;
+  bool in_run;
 };
 
 struct write
@@ -65,7 +66,7 @@
   struct mt_timer *retry_timer;
 };
 
-static void wake (struct mt_pool *pool);
+static void run_scheduler (struct mt_pool *pool);
 
 static struct mt_pool *
 ref (struct mt_pool *pool)
@@ -94,7 +95,7 @@
 }
 
 static void
-resign (struct mt_pool *pool, const char *why)
+resign_leadership (struct mt_pool *pool, const char *why)
 {
   if (!pool->destroyed)
     mt_cluster_drop_leadership (pool->options.cluster, pool->name, why);
@@ -115,14 +116,14 @@
   if (!pool->destroyed && --pool->writes_remaining == 0)
     {
       mt_scheduler_cycle_done (pool->sched, mt_loop_now ());
-      wake (pool);
+      run_scheduler (pool);
     }
   unref (pool);
 }
 
-/* Returns false if the leadership's key was written by another daemon or is gone: this scheduler's
- * state is then obsolete. Otherwise a progress key has another revision than expected, because the
- * answer to an earlier write was lost; takes over that revision. */
+/* Handles a write refused because keys have other revisions than expected. For a progress key, the
+ * answer to an earlier write was lost: adopts the key's revision. Returns false if the leadership's
+ * key was written by another daemon or is gone: this scheduler's state is then obsolete. */
 static bool
 resolve_conflict (struct write *w, const struct mt_kv_reply *reply)
 {
@@ -164,7 +165,7 @@
     case MT_KV_CONFLICT:
       if (!resolve_conflict (w, reply))
         {
-          resign (pool, "a write was refused: another daemon holds the leadership");
+          resign_leadership (pool, "a write was refused: another daemon holds the leadership");
           end_write (w);
           return;
         }
@@ -172,8 +173,7 @@
     default:
       break;
     }
-  /* Sends the same write again; if the first one was done after all, the second conflicts with
-   * it. */
+  /* Retries the write; if the first one was done after all, the second conflicts with it. */
   mt_timer_set (w->retry_timer, TXN_RETRY_MS);
 }
 
@@ -249,7 +249,7 @@
   char *worker;
   char *task;
   unsigned run;
-  int64_t at;
+  int64_t sent_at;
 };
 
 static struct sent_order *
@@ -273,20 +273,20 @@
 }
 
 static void
-on_hold (void *data, const struct mt_hold_report *report)
+on_hold_answer (void *data, const struct mt_hold_report *report)
 {
   struct sent_order *s = data;
 
   if (!s->pool->destroyed)
     {
-      mt_scheduler_hold_answered (s->pool->sched, s->worker, report, s->at, mt_loop_now ());
-      wake (s->pool);
+      mt_scheduler_hold_answered (s->pool->sched, s->worker, report, s->sent_at, mt_loop_now ());
+      run_scheduler (s->pool);
     }
   free_sent_order (s);
 }
 
 static void
-on_order (void *data, enum mt_answer answer, int64_t clock_ms)
+on_order_answer (void *data, enum mt_answer answer, int64_t clock_ms)
 {
   struct sent_order *s = data;
 
@@ -294,23 +294,23 @@
     {
       mt_scheduler_order_answered (s->pool->sched, s->kind, s->worker, s->task, s->run, answer,
                                    clock_ms, mt_loop_now ());
-      wake (s->pool);
+      run_scheduler (s->pool);
     }
   free_sent_order (s);
 }
 
 static void
-on_advice (void *data, char **rows, int64_t validity_ms)
+on_tickets (void *data, char **rows, int64_t validity_ms)
 {
   struct sent_order *s = data;
   struct mt_scheduler *sched = s->pool->sched;
 
   for (char **row = rows; !s->pool->destroyed && row != NULL && row[0] != NULL; row += 2)
-    mt_scheduler_add_ticket (sched, s->task, row[0], row[1], s->at + validity_ms);
+    mt_scheduler_add_ticket (sched, s->task, row[0], row[1], s->sent_at + validity_ms);
   if (!s->pool->destroyed)
     {
       mt_scheduler_tickets_answered (sched, s->task, mt_loop_now (), rows != NULL);
-      wake (s->pool);
+      run_scheduler (s->pool);
     }
   free_sent_order (s);
 }
@@ -322,16 +322,16 @@
   struct sent_order *s = new_sent_order (pool, order, now);
 
   if (order->kind == MT_ORDER_HOLD)
-    workers->ops->hold (workers->ctx, order, pool->options.token, on_hold, s);
+    workers->ops->hold (workers->ctx, order, pool->options.token, on_hold_answer, s);
   else if (order->kind == MT_ORDER_REQUEST_TICKETS)
-    workers->ops->advise (workers->ctx, order, on_advice, s);
+    workers->ops->advise (workers->ctx, order, on_tickets, s);
   else
-    workers->ops->order (workers->ctx, order, pool->options.token, on_order, s);
+    workers->ops->order (workers->ctx, order, pool->options.token, on_order_answer, s);
 }
 
-/* In a store outage no successor can take over, and the running work would lose its leases: renews
- * them for a bounded time, and starts or stops nothing. A daemon that is only partitioned itself
- * sends nothing: its successor relies on these leases expiring. */
+/* Renews the workers' leases for a bounded time in a store outage: no successor can take over then,
+ * and running tasks would lose their leases. Starts or stops nothing. A daemon that is only
+ * partitioned itself sends nothing: its successor relies on these leases expiring. */
 static void
 renew_leases_in_outage (struct mt_pool *pool)
 {
@@ -370,7 +370,7 @@
     }
   renew_leases_in_outage (pool);
   if (mt_scheduler_is_fenced (pool->sched))
-    resign (pool, "a worker has seen a higher fencing token");
+    resign_leadership (pool, "a worker has seen a higher fencing token");
 }
 
 /* ---- removal of ended jobs ---- */
@@ -417,13 +417,13 @@
 /* ---- scheduling ---- */
 
 static void
-wake (struct mt_pool *pool)
+run_scheduler (struct mt_pool *pool)
 {
   int64_t now = mt_loop_now ();
 
-  if (!pool->loaded || pool->destroyed || pool->in_wake)
+  if (!pool->loaded || pool->destroyed || pool->in_run)
     return;
-  pool->in_wake = true;
+  pool->in_run = true;
   ref (pool);
   if (mt_scheduler_needs_cycle (pool->sched, now))
     {
@@ -434,7 +434,7 @@
     }
   if (!pool->destroyed)
     send_orders (pool);
-  pool->in_wake = false;
+  pool->in_run = false;
   unref (pool);
 }
 
@@ -445,13 +445,13 @@
 
   mt_timer_set (pool->tick, mt_scheduler_is_idle (pool->sched) ? IDLE_TICK_MS : TICK_MS);
   remove_expired_job (pool, mt_loop_now ());
-  wake (pool);
+  run_scheduler (pool);
 }
 
 void
 mt_pool_wake (struct mt_pool *pool)
 {
-  wake (pool);
+  run_scheduler (pool);
 }
 
 /* ---- loading ---- */
@@ -562,14 +562,14 @@
   mt_pool_submission_clear (&submission);
   if (g_hash_table_contains (pool->early_cancels, id))
     mt_scheduler_cancel (pool->sched, id, mt_loop_now ());
-  wake (pool);
+  run_scheduler (pool);
 }
 
 void
 mt_pool_handle_cancel (struct mt_pool *pool, const char *id)
 {
   if (mt_scheduler_cancel (pool->sched, id, mt_loop_now ()))
-    wake (pool);
+    run_scheduler (pool);
   else
     g_hash_table_add (pool->early_cancels, g_strdup (id));
 }
