--- a/core/controller/controller.c
+++ b/core/controller/controller.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-/* Interval of planning. Orders in between follow the last plan and the latest reports. */
+/* Interval of planning. In between, orders follow the last plan and the latest reports. */
 #define PLAN_INTERVAL_MS 50
 /* Delay before an order that could not be carried out is retried. */
 #define ORDER_RETRY_MS 400
-/* A plan is dropped if draining takes longer than the expected time multiplied by this; another
- * machine is taken. */
+/* The plan for a machine is dropped if draining takes longer than the expected time multiplied by
+ * this. Another machine can then be planned instead. */
 #define DRAIN_TIMEOUT_FACTOR 3
-/* A scheduler's view that is older than this does not prove that a worker is empty. */
+/* A scheduler's report that is older than this does not prove that a worker is empty. */
 #define MAX_VIEW_AGE_MS 700
-/* How long schedulers are notified that a worker's incarnation has ended: its entry may stay
- * listed. */
+/* How long schedulers are notified that a worker's incarnation has ended: its registry entry may
+ * remain for that long. */
 #define REPORT_ENDED_MS 10000
 
 static void
@@ -128,10 +128,10 @@
     g_hash_table_insert (ctl->by_worker, worker, m);
 }
 
-/* Confirms by the list of machines that an order ended the worker. An order that had been carried
- * out already, through a call whose answer was lost or by an earlier controller, gets the same
- * answer as one carried out now; the worker is then a later incarnation and keeps running. So its
- * tasks must not be started elsewhere on the answer alone. */
+/* Confirms by the list of machines that an order ended the worker. The answer to the order alone
+ * does not prove it, so the worker's tasks must not be started elsewhere yet: an order that was
+ * carried out before, in a call whose answer was lost or for an earlier controller, gets the same
+ * answer, and the worker is then a later incarnation that keeps running. */
 static void
 confirm_ended (struct mt_controller_machine *m,
                const struct mt_controller_machine_info *row,
@@ -156,7 +156,8 @@
   m->listed = true;
   if (m->rack == NULL)
     m->rack = g_strdup (row->rack);
-  /* The list was requested before an order on this machine was carried out. */
+  /* The row may be outdated: it was requested before an order on the machine was carried out, or
+   * such an order is pending. */
   if (requested_at <= m->ordered_at || m->order_pending)
     return;
   confirm_ended (m, row, now);
@@ -266,8 +267,8 @@
                            int64_t number,
                            char **machines,
                            char **done,
-                           unsigned cap,
-                           int64_t due)
+                           unsigned max_down,
+                           int64_t deadline)
 {
   struct mt_controller_wave *w = g_hash_table_lookup (ctl->waves, &number);
 
@@ -279,8 +280,8 @@
       w->done = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_hash_table_insert (ctl->waves, &w->number, w);
     }
-  w->cap = cap;
-  w->due = due;
+  w->max_down = max_down;
+  w->deadline = deadline;
   for (char **id = machines; id != NULL && *id != NULL; id++)
     if (!g_hash_table_contains (w->done, *id))
       g_hash_table_add (w->remaining, g_strdup (*id));
@@ -360,8 +361,9 @@
 
 /* ---- orders ---- */
 
-/* Whether nothing runs on the machine and nothing can start there: the scheduler has cordoned it
- * and has reported it empty since. A machine in a standby pool is off and runs nothing. */
+/* Returns whether nothing runs on the machine and nothing can start there: its scheduler has
+ * cordoned the worker and has since reported it empty. A machine in a standby pool is off and runs
+ * nothing. */
 static bool
 is_empty (const struct mt_controller_machine *m, int64_t now)
 {
@@ -520,8 +522,8 @@
       drop_plan (m);
       return;
     case MT_CONTROLLER_ORDER_UNKNOWN:
-      /* The order may have been carried out: the machine counts as down until the next try shows
-       * it. */
+      /* The order may have been carried out. The plan stays, so that the machine counts as down
+       * until the retry has shown the result. */
       m->retry_at = now + ORDER_RETRY_MS;
       return;
     case MT_CONTROLLER_ORDER_RETRY:
@@ -559,7 +561,7 @@
 {
   GPtrArray *cordon = g_ptr_array_new ();
   GPtrArray *ended = g_ptr_array_new ();
-  GPtrArray *due = g_ptr_array_new ();
+  GPtrArray *maintenance_due = g_ptr_array_new ();
   const struct mt_controller_pool *p = g_hash_table_lookup (ctl->pools, pool);
   GHashTableIter it;
   struct mt_controller_machine *m;
@@ -567,12 +569,12 @@
   g_hash_table_iter_init (&it, ctl->machines);
   while (g_hash_table_iter_next (&it, NULL, (void **) &m))
     {
-      bool here = m->worker != NULL && strcmp (m->pool->name, pool) == 0;
+      bool is_in_pool = m->worker != NULL && strcmp (m->pool->name, pool) == 0;
 
-      if (here && m->plan != MT_PLAN_NONE)
+      if (is_in_pool && m->plan != MT_PLAN_NONE)
         g_ptr_array_add (cordon, g_strdup (m->worker));
-      else if (here && needs_maintenance (ctl, m))
-        g_ptr_array_add (due, g_strdup (m->worker));
+      else if (is_in_pool && needs_maintenance (ctl, m))
+        g_ptr_array_add (maintenance_due, g_strdup (m->worker));
       if (m->ended_worker != NULL && m->end_confirmed_at == 0)
         g_ptr_array_add (cordon, g_strdup (m->ended_worker));
       else if (m->ended_worker != NULL && now - m->end_confirmed_at < REPORT_ENDED_MS)
@@ -580,9 +582,9 @@
     }
   g_ptr_array_add (cordon, NULL);
   g_ptr_array_add (ended, NULL);
-  g_ptr_array_add (due, NULL);
+  g_ptr_array_add (maintenance_due, NULL);
   return (struct mt_controller_directives){ (char **) g_ptr_array_free (cordon, FALSE),
                                             (char **) g_ptr_array_free (ended, FALSE),
-                                            (char **) g_ptr_array_free (due, FALSE),
+                                            (char **) g_ptr_array_free (maintenance_due, FALSE),
                                             p != NULL ? mt_controller_allocated_cpu (p) : 0 };
 }
--- a/core/controller/controller_moves.c
+++ b/core/controller/controller_moves.c
@@ -1,20 +1,21 @@
-/* Decides which machines change pool. The pools surge in turn, each to more than it holds for some
- * seconds, and are nearly idle in between; moving a machine takes a third of a surge. So a pool
- * that is short takes machines at the first sign, from the standby pool and from any pool that has
- * more than it needs. Machines that no pool needs go to the standby pool, where they cost nothing.
+/* Decides which machines change pool. The pools surge in turn, for some seconds each and beyond the
+ * capacity of their machines, and are nearly idle in between. Moving a machine takes a third of the
+ * duration of a surge. So a pool that is short gets machines at the first sign, from the standby
+ * pool and from any pool that has more than it needs. Machines that no pool needs go to the standby
+ * pool, where they cost nothing.
  *
- * A pool in its trough keeps a share of its own machines: the next surge begins without notice, and
- * they have to carry it until others arrive. The share is small, since each machine that idles here
- * is missing in the pool that surges now. */
+ * Between its surges a pool keeps a share of its own machines: the next surge begins without
+ * notice, and they have to carry it until others arrive. The share is small, since each machine
+ * that idles in one pool is missing in the pool that surges at the time. */
 #include "controller_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 /* A new controller moves no machine to the standby pool for this time: not all machines are up yet,
- * and no pool's surges are known. */
+ * and the needs of the pools in their surges are unknown. */
 #define STARTUP_HOLD_MS 5000
-/* An ordered move counts as under way for this much longer than it should take. */
+/* A machine counts as arriving for this long beyond the expected duration of its move. */
 #define ARRIVAL_GRACE_MS 4000
 
 static bool
@@ -24,7 +25,7 @@
          && now < m->ordered_at + ctl->settings.move_ms + ARRIVAL_GRACE_MS;
 }
 
-/* Counts each pool's machines in one pass, those on their way included. */
+/* Counts each pool's machines in one pass, including those on their way to the pool. */
 static void
 count_machines (struct mt_controller *ctl, int64_t now)
 {
@@ -75,8 +76,8 @@
   return m->has_view && !m->view.silent && !m->view.leaving && m->view.long_running == 0;
 }
 
-/* Whether a is expected to be empty before b; if both at the same time, whether it holds fewer
- * tasks. */
+/* Returns whether machine a is expected to be empty before b; if both at the same time, whether a
+ * has fewer tasks. */
 static bool
 is_empty_sooner (const struct mt_controller_machine *a, const struct mt_controller_machine *b)
 {
@@ -120,8 +121,8 @@
   return true;
 }
 
-/* Sends a machine that is being drained for the standby pool to the pool that is short instead: by
- * way of the standby pool it would take the time of two moves. */
+/* Changes the destination of a machine that is being drained for the standby pool: by way of the
+ * standby pool it would reach `to` only after two moves. Returns false if there is none. */
 static bool
 redirect_move (struct mt_controller *ctl, struct mt_controller_pool *to)
 {
@@ -155,7 +156,8 @@
   return NULL;
 }
 
-/* Returns the pool with the largest surplus, or NULL. */
+/* Returns the pool with the largest surplus of which a machine can be moved; NULL if there is none.
+ */
 static struct mt_controller_pool *
 find_largest_surplus (const struct mt_controller *ctl)
 {
@@ -189,8 +191,8 @@
 
       if (redirect_move (ctl, p) || (standby != NULL && plan_move (ctl, standby, p, now)))
         continue;
-      /* Moving a machine from one pool's overdue work to another's would only lose the time of the
-       * move. */
+      /* Takes no machine from another pool for overdue work: that pool may use it for overdue work
+       * too, and only the time of the move would be lost. */
       from = p->n_machines < p->n_claimed ? find_largest_surplus (ctl) : NULL;
       if (from == NULL || from == p || !plan_move (ctl, from, p, now))
         return;
@@ -210,8 +212,8 @@
     }
   if (p->surplus_since == 0)
     p->surplus_since = now;
-  /* A machine that moves to the standby pool is unavailable for the time of the move, and the next
-   * pool often surges as this one's surge ends. */
+  /* Waits first: a machine that moves to the standby pool is unavailable for the time of the move,
+   * and often the surge of another pool begins as this pool's surge ends. */
   if (now - p->surplus_since < ctl->settings.move_ms)
     return;
   while (p->n_machines > mt_controller_idle_machines (p) && plan_move (ctl, p, standby, now))
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -1,46 +1,46 @@
-/* Allocates the machines to the pools when these together may ask for more than there are.
+/* Allocation of the machines to the pools, whose needs together may exceed the fleet.
  *
- * The pools surge in turn, each to more than it holds, and where the fleet is nearly full a surge
- * begins while the one before it still has work waiting. If the first pool to ask kept all
- * machines, callers of the next pool would get nothing. So machines are allocated in tiers. While a
- * pool is starved, the machines of a tier are shared in proportion to what the pools ask for, and
- * the next tier gets what remains. Otherwise each pool gets what it asks for as machines become
- * free, since those that work in a surge that is ending are free sooner than they could be
- * moved. */
+ * The pools surge in turn, beyond the capacity of their machines. Where the fleet is nearly full, a
+ * surge begins while the surge before it still has work waiting. If the first pool to ask kept all
+ * machines, callers of the next pool would get nothing. So machines are allocated in tiers of need.
+ * While a pool is starved, the machines of a tier are shared in proportion to the pools' needs, and
+ * the next tier gets what remains. Otherwise each pool is allocated its whole need and gets
+ * machines as they become free: the machines of a surge that is ending become free sooner than
+ * others could be moved. */
 #include "controller_internal.h"
 
 #include <math.h>
 #include <stdlib.h>
 
-/* Factor over what keeps jobs within their objectives on average, since machines arrive late and
- * arrivals come in bunches. */
+/* Need with a margin, as a multiple of the demand, which keeps jobs within their objectives on
+ * average only: machines arrive late and jobs arrive in bursts. */
 #define BURST_FACTOR 5.0
-/* While a pool is starved the margin follows arrivals: a surge that is over needs none. */
+/* While a pool is starved, the need with a margin is this multiple of the arriving work, but at
+ * least STARVED_BURST_FACTOR of the demand: a surge that is over needs no margin. */
 #define STARVED_BURST_FACTOR 2.5
 #define ARRIVING_FACTOR      3.0
-/* A pool that has had less than its mean need for this long is starved; a surge that follows
- * another one gets its machines sooner than that. */
+/* A pool that has had fewer machines than its mean need for this long is starved. Where a surge
+ * merely follows another one, its pool gets machines sooner. */
 #define STARVED_MS 1500
-/* Highest share of the processors to be in use, so that wide tasks still fit. */
+/* Highest share of a machine's processors to be in use, so that wide tasks still fit. */
 #define MAX_CPU_SHARE 0.9
-/* Factor from the processors known to be busy shortly to the total, including what arrives until
- * then. */
+/* Ratio of the upcoming load including jobs that arrive until then to that of the present jobs. */
 #define UPCOMING_FACTOR 1.4
-/* Share of the arriving work that is expected to last: short bunches look like surges. */
+/* Share of the arriving work that is expected to last: short bursts look like surges. */
 #define LASTING_SHARE 0.8
-/* Share of the machines needed in its last surge that a pool keeps. More would stand idle in every
- * pool but the one that surges, just when that one lacks them. */
+/* Share of the machines needed in its last surge that a pool keeps. More would stand idle in all
+ * other pools while one pool surges and lacks them. */
 #define PEAK_RESERVE_SHARE 0.1
-/* Share of its own machines that a pool keeps: a surge begins without notice, and the first machine
- * arrives after two seconds. */
+/* Share of its home machines that a pool keeps: a surge begins without notice, and the first
+ * machine from elsewhere arrives after two seconds. */
 #define HOME_RESERVE_SHARE 0.4
-/* A pool has surged once it has used this share of its own machines. */
+/* A pool has surged once it has used this share of its home machines. */
 #define SURGED_SHARE 0.6
-/* Half-life of the highest need. */
+/* Half-life of peak_machines. */
 #define PEAK_HALF_LIFE_MS 60000.0
-/* A pool's need is its highest within this time: arrivals come in bunches. */
+/* A pool's need is the highest within this time: jobs arrive in bursts. */
 #define NEED_WINDOW_MS 800
-/* Assumed for a machine of unknown size, in thousandths of a core. */
+/* Capacity assumed for a machine of unknown size, in thousandths of a core. */
 #define DEFAULT_MACHINE_CPU 16000
 
 /* Returns the mean capacity of the pool's machines, in thousandths of a core. */
@@ -56,9 +56,9 @@
   return (unsigned) ceil (cpu / (MAX_CPU_SHARE * machine_cpu (p)));
 }
 
-/* Returns the need with a margin, in thousandths of a core. If no work that can still meet its
- * objective waits, the margin is limited: it would keep idle machines that the pool that surges
- * next lacks. */
+/* Returns the need with a margin, in thousandths of a core. The margin is limited if no work waits
+ * that can still meet its objective: it would keep machines idle that the next pool to surge lacks.
+ */
 static double
 burst_cpu (const struct mt_scheduler_load *load, bool starved)
 {
@@ -89,8 +89,8 @@
 
   update_recent_max (&p->burst_need, burst, now);
   update_recent_max (&p->mean_need, MIN (mean, burst), now);
-  /* Counts what was running, not what waited: a starved pool would remember more than all
-   * machines. */
+  /* Counts processors in use and no waiting work: for a starved pool the peak would otherwise
+   * exceed all machines. */
   p->peak_machines
       = MAX (p->peak_machines * decay, (double) machines_for (p, (double) p->load.urgent_used_cpu));
   p->peak_at = now;
@@ -118,8 +118,9 @@
 
 /* ---- tiers ---- */
 
-/* Long-running tasks that may not share a worker wait for another worker, however empty the
- * existing ones are: without one they do not run, or keep machines from their maintenance. */
+/* Machines that can't leave the pool. One more is needed for long-running tasks that may not share
+ * a worker, however empty the existing workers are: they would not run, or would keep their machine
+ * from its maintenance. */
 static unsigned
 need_pinned (const struct mt_controller_pool *p)
 {
@@ -132,8 +133,8 @@
   return p->mean_need.machines;
 }
 
-/* The reserve is kept out of what the pool has, and nothing is taken for it: a machine that would
- * idle here is in use elsewhere. */
+/* The reserve is limited to the machines that the pool has: no other pool gives up a machine that
+ * it uses for one to idle here. */
 static unsigned
 need_reserve (const struct mt_controller_pool *p)
 {
@@ -156,14 +157,17 @@
 {
   const char *name;
   const char *description;
-  unsigned (*need) (const struct mt_controller_pool *p); /* machines in total, this tier included */
-  bool overdue;                                          /* takes no machines from other pools */
+  unsigned (*need) (
+      const struct mt_controller_pool *p); /* machines needed for all tiers up to this one */
+  bool overdue;                            /* takes no machines from other pools */
 } tiers[] = {
-  { "pinned", "machines that can't leave, or one more for tasks that find none", need_pinned },
-  { "keep", "reserve for the start of the next surge", need_reserve },
-  { "timely", "keeps jobs within their objectives on average", need_mean },
-  { "hasty", "margin, since machines arrive late and arrivals come in bunches", need_burst },
-  { "late", "accepted work that can't meet its objective any more", need_overdue, .overdue = true },
+  { "pinned", "machines that can't leave, or one more for long-running tasks that fit on none",
+    need_pinned },
+  { "reserve", "reserve for the start of the next surge", need_reserve },
+  { "mean", "keeps jobs within their objectives on average", need_mean },
+  { "burst", "margin, since machines arrive late and jobs arrive in bursts", need_burst },
+  { "overdue", "accepted work that can't meet its objective any more", need_overdue,
+    .overdue = true },
 };
 
 static bool
@@ -199,8 +203,9 @@
   return starved;
 }
 
-/* Allocates the machines of one tier. While a pool is starved each pool gets a share in proportion
- * to what it asks for; what rounding leaves over carries over to the next pools. */
+/* Allocates the machines of one tier and returns their number, at most available. While a pool is
+ * starved each pool gets a share in proportion to its need; remainders of the rounding carry over
+ * to the next pools. */
 static unsigned
 allocate_tier (struct mt_controller *ctl, const struct tier *tier, unsigned available)
 {
--- a/core/controller/controller_waves.c
+++ b/core/controller/controller_waves.c
@@ -1,6 +1,7 @@
-/* Maintenance waves: each machine of a wave is down once, before the wave is due, at most cap
- * machines at a time. The emptiest go first. While there is time, none is taken from a pool that is
- * short of machines: the pools are short in turn. */
+/* Maintenance waves: each machine of a wave is down once before the wave's deadline, at most
+ * max_down machines at a time. The least used machines go first. While there is time, no machine is
+ * taken from a pool that is short of machines: the pools are short in turn, so there is a better
+ * moment. */
 #include "controller_internal.h"
 
 #include <math.h>
@@ -9,21 +10,21 @@
 
 /* Time to drain a worker: its longest tasks take some 3 s. */
 #define DRAIN_MS 3000
-/* A long-running task runs elsewhere this long after it was stopped; the next one of its step waits
+/* Time from stopping a long-running task until it runs elsewhere; the next task of its step waits
  * for that. */
 #define DRAIN_ROUND_MS 1200
-/* A wave waits for a trough only while the remaining time exceeds the time that the rest of the
- * wave needs by this factor. */
+/* A wave waits for low load only while the time until its deadline exceeds the time that the rest
+ * of the wave needs by this factor. */
 #define SLACK_FACTOR 1.6
 /* A worker with at most this share of its processors in use has low load. */
 #define LOW_LOAD_SHARE 0.5
-/* Added to the share of processors in use: a pool that is short gives no machine while there is
- * time. */
+/* Added to the cost of a machine, which is the share of its processors in use: a pool that is short
+ * gives up no machine while there is time. */
 #define SHORT_POOL_COST 10
-/* Machines that take long to drain go first while there is time, since they can't be sped up later;
- * subtracted from the share of processors in use for each round of draining. */
+/* Subtracted from the cost of a machine for each round of draining: machines that take long to
+ * drain go first while there is time, since their drain can't be sped up later. */
 #define DRAIN_ROUND_BONUS 0.1
-/* Machines that can't wait any longer go before all others. */
+/* Subtracted from the cost of machines that can't wait any longer, which go before all others. */
 #define MUST_BEGIN_BONUS 100
 
 struct candidate
@@ -67,8 +68,8 @@
   return m->has_view && m->view.long_running > 0;
 }
 
-/* Returns the cost to its pool of losing this machine for a while; a machine that is off costs
- * nothing. */
+/* Returns the cost for the pool of losing this machine for a while; it is lowest for a machine that
+ * is off. */
 static double
 cost_of (const struct mt_controller_machine *m)
 {
@@ -80,9 +81,9 @@
          + (mt_controller_pool_is_short (m->pool) ? SHORT_POOL_COST : 0);
 }
 
-/* Whether the machine's load is low enough to drain it now. Machines with long-running tasks also
- * wait for a trough: the tasks take seconds to move, one after the other, so those machines begin
- * while there is time. */
+/* Returns whether the machine's load is low enough to drain it now. This is also required of
+ * machines with long-running tasks, though they begin early: the tasks take seconds to move, one
+ * after the other. */
 static bool
 has_low_load (const struct mt_controller_machine *m)
 {
@@ -98,7 +99,7 @@
   return DRAIN_MS + (m->has_view ? (int64_t) m->view.drain_rounds * DRAIN_ROUND_MS : 0);
 }
 
-/* Returns the time until the last of the wave's machines in the pool has no long-running task:
+/* Returns the time until none of the wave's machines in the pool has a long-running task any more:
  * these tasks move one after the other, across all machines of the pool. */
 static int64_t
 pool_drain_ms (const struct mt_controller *ctl,
@@ -126,40 +127,40 @@
           const struct mt_controller_machine *m,
           int64_t now)
 {
-  int64_t others = (g_hash_table_size (w->remaining) - 1) / w->cap;
+  int64_t others = (g_hash_table_size (w->remaining) - 1) / w->max_down;
   int64_t by_cap = others * (DRAIN_MS + ctl->settings.maintenance_ms) + mt_controller_drain_ms (m);
   int64_t by_pool
       = is_pinned (m) ? DRAIN_MS + pool_drain_ms (ctl, w, m->pool) : mt_controller_drain_ms (m);
   int64_t needed_ms = MAX (by_cap, by_pool) + ctl->settings.maintenance_ms;
 
-  return (double) (w->due - now) > SLACK_FACTOR * (double) needed_ms;
+  return (double) (w->deadline - now) > SLACK_FACTOR * (double) needed_ms;
 }
 
-/* Returns how many machines may be down or draining at once. While callers wait for machines a wave
- * is spread over the time that it has: as many at once as that takes, with a margin, instead of all
- * that the cap allows. */
+/* Returns how many machines may be down or draining at once. While a pool is short of machines, the
+ * wave is spread over the time until its deadline: the number is what this takes, with a margin,
+ * instead of max_down. */
 static unsigned
 max_down_at_once (const struct mt_controller *ctl, const struct mt_controller_wave *w, int64_t now)
 {
   double per_machine_ms = (double) (DRAIN_MS + ctl->settings.maintenance_ms);
-  double remaining_ms = (double) MAX (w->due - now, 1);
+  double remaining_ms = (double) MAX (w->deadline - now, 1);
 
   if (!mt_controller_any_pool_short (ctl))
-    return w->cap;
-  return MIN (w->cap, (unsigned) ceil (SLACK_FACTOR * g_hash_table_size (w->remaining)
-                                       * per_machine_ms / remaining_ms));
+    return w->max_down;
+  return MIN (w->max_down, (unsigned) ceil (SLACK_FACTOR * g_hash_table_size (w->remaining)
+                                            * per_machine_ms / remaining_ms));
 }
 
-/* Returns how many machines of the pool may move their long-running tasks at once. One keeps the
- * disruption budgets of most jobs in use; more are allowed only if the remaining time requires
- * it. */
+/* Returns how many machines of the pool may move their long-running tasks at once. A single machine
+ * already uses up the disruption budgets of most jobs; more are allowed only if the remaining time
+ * requires it. */
 static unsigned
 max_drains_at_once (const struct mt_controller *ctl,
                     const struct mt_controller_wave *w,
                     const struct mt_controller_pool *p,
                     int64_t now)
 {
-  double remaining_ms = (double) MAX (w->due - now, 1);
+  double remaining_ms = (double) MAX (w->deadline - now, 1);
 
   return (unsigned) MAX (ceil (SLACK_FACTOR * (double) pool_drain_ms (ctl, w, p) / remaining_ms),
                          1);
@@ -190,8 +191,8 @@
   return out;
 }
 
-/* Counts of a pool's machines: all, those down or about to be, and of these the ones that still
- * have long-running tasks to move. */
+/* Numbers of a pool's machines: all, those down or planned to be, and those planned for maintenance
+ * that still have long-running tasks to move. */
 struct pool_counts
 {
   unsigned total;
@@ -218,10 +219,10 @@
   return out;
 }
 
-/* Whether the machine may begin now. While it can wait, a pool gives up no more than a third of its
- * machines at a time. Long-running tasks wait for each other wherever they are, so a machine that
- * has some begins when the one before it is done: if all began together, all would be kept from
- * other work until the last is empty. */
+/* Returns whether the machine may begin now. While it can wait, its pool gives up no more than a
+ * third of its machines at a time. Long-running tasks move one after the other across all machines,
+ * so a machine that has some begins only when the machine before it is done: if all began together,
+ * all would be kept from other work until the last one is empty. */
 static bool
 can_begin (const struct mt_controller *ctl,
            const struct mt_controller_wave *w,
--- a/core/controller/grants.c
+++ b/core/controller/grants.c
@@ -1,21 +1,21 @@
-/* Allocates each quota to pools that surge in turn.
+/* Allocation of each workspace's quota to pools that surge in turn.
  *
- * A workspace's jobs come to one pool for some seconds, then to the next. Fixed shares would leave
- * most of the quota idle while jobs wait; if a pool asked for each task, the task would wait for
- * the answer. So each pool has a granted share. Shares that a pool does not use go to pools that
- * lack them, and the rest is spread evenly. */
+ * A workspace's jobs arrive at one pool for some seconds, then at another one. Fixed shares would
+ * leave most of the quota idle while jobs wait; if a pool asked for each task, the task would wait
+ * for the answer. So each pool is granted a share. The part that a pool does not use goes to pools
+ * that need it, and the rest is spread evenly. */
 #include "medlartrack/grants.h"
 
 #include <string.h>
 
-/* A pool that has not answered for this long may have a new leader, which will take an even share;
- * the other pools leave that much free. */
+/* A pool that has not answered for this long may have a new leader, which takes an even share: that
+ * much is kept free for it. */
 #define NO_ANSWER_MS 1000
-/* After this time without an answer a pool's grant has expired to an even share by the pool's own
- * clock: the lease plus the time that a message may take. */
+/* After this time without an answer a pool's grant has expired, by the pool's own clock, and the
+ * pool keeps an even share: the lease plus the time that a message may take. */
 #define GRANT_EXPIRY_MS (MT_GRANT_LEASE_MS + 1000)
-/* If demand exceeds the quota, another pool goes first after this time: a task that is larger than
- * an even share must run eventually. */
+/* If demand exceeds the quota, precedence passes to the next pool after this time: a task that is
+ * larger than an even share must run eventually. */
 #define ROTATION_MS 4000
 
 /* One pool's share of one workspace's quota. */
@@ -23,12 +23,12 @@
 {
   struct mt_resources used;
   struct mt_resources waiting;
-  struct mt_resources largest_waiting; /* largest waiting task */
+  struct mt_resources largest_waiting; /* largest need of a waiting task */
   struct mt_resources acked;           /* latest grant that the pool has acknowledged */
-  struct mt_resources sent;
-  uint64_t sent_sequence; /* of the message that carried the grant; 0 for none */
-  bool is_acked;
-  bool has_grant; /* the pool's current leader has received a grant */
+  struct mt_resources sent;            /* latest grant sent */
+  uint64_t sent_sequence;              /* of the message that carried it; 0: none sent */
+  bool is_acked;                       /* the pool has acknowledged `sent` */
+  bool has_grant;                      /* the pool's current leader has received a grant */
 };
 
 struct pool
@@ -102,7 +102,8 @@
   return NULL;
 }
 
-/* Copies the pool's state from the old configuration, as far as its workspaces still exist. */
+/* Returns the pool's state for a new configuration: copied from the old one for the workspaces that
+ * exist in both. */
 static struct pool
 copy_pool (const struct mt_grants *old, const char *name, char *const *names, unsigned n)
 {
@@ -185,7 +186,7 @@
   return !p->answered || view->now - p->answered_at >= ms;
 }
 
-/* Returns the most that the pool may be using, whatever messages were lost. */
+/* Returns the most that the pool may be using, even if messages were lost. */
 static int64_t
 reserved (const struct quota_view *view, unsigned pool)
 {
@@ -198,7 +199,7 @@
     return MAX (used, even);
   if (!share->is_acked)
     granted = MAX (granted, amount (view, &share->sent));
-  /* A leader without a grant eventually takes an even share. */
+  /* A leader of the pool without a grant takes an even share after some time. */
   if (!share->has_grant || is_silent (view, pool, NO_ANSWER_MS))
     granted = MAX (granted, even);
   return MAX (used, granted);
@@ -214,15 +215,16 @@
              : amount (view, &share->used) + amount (view, &share->waiting);
 }
 
-/* If the quota covers all demand, each pool gets its demand and an even part of the rest. */
+/* Returns the pool's share if the quota covers all demand: its demand and an even part of the rest.
+ */
 static int64_t
 surplus_share (const struct quota_view *view, unsigned pool, int64_t total_demand)
 {
   return demand (view, pool) + (view->quota - total_demand) / view->n_pools;
 }
 
-/* Max-min fairness: no pool gets more than its demand, nor more than an even part of what pools
- * with less demand leave. */
+/* Returns the level of max-min fairness: the most that a pool gets if the quota does not cover all
+ * demand. Pools with a lower demand get their demand, the others even parts of the rest. */
 static int64_t
 fair_level (const struct quota_view *view)
 {
@@ -244,8 +246,9 @@
   return level;
 }
 
-/* Pools whose next task is larger than the fair level go first in rotation; the others leave space
- * for it meanwhile. */
+/* Returns the pool's share if the quota does not cover all demand. Pools take turns in going first:
+ * if the largest waiting task of the first pool needs more than the fair level, the others share
+ * what it leaves. */
 static int64_t
 fair_share (const struct quota_view *view, unsigned pool)
 {
@@ -259,8 +262,8 @@
   return MIN (demand (view, pool), level);
 }
 
-/* Returns what the pool should be granted of this resource. Nothing is revoked from a pool that has
- * more than its share while no other pool lacks it. */
+/* Returns what the pool should be granted of this resource. A pool that has more than its share
+ * keeps it while no other pool lacks it. */
 static int64_t
 target_share (const struct quota_view *view, unsigned pool)
 {
@@ -314,8 +317,8 @@
   return changed;
 }
 
-/* A pool that has not answered yet may have been granted any share by the previous leader: no grant
- * of another pool changes until it answers or its grant has expired. */
+/* Returns whether grants may change: each pool has answered, or its grant by the previous leader,
+ * which may be any share, has expired. */
 static bool
 all_pools_answered (const struct mt_grants *grants, int64_t now)
 {
@@ -350,7 +353,7 @@
           && share->is_acked && share->has_grant)
         continue;
       rows[out.n_grants++] = (struct mt_grant){ grants->names[i], resources };
-      /* An earlier grant that was not acknowledged may be in force: the higher one counts. */
+      /* An earlier grant that was not acknowledged may be in force: counts the higher one. */
       for (unsigned k = 0; !share->is_acked && k < MT_RESOURCE_KINDS; k++)
         *mt_resources_field (&share->acked, k)
             = MAX (mt_resources_get (&share->acked, k), mt_resources_get (&share->sent, k));
--- a/include/medlartrack/controller.h
+++ b/include/medlartrack/controller.h
@@ -51,15 +51,15 @@
                                 const struct mt_worker_view *workers,
                                 size_t n,
                                 int64_t now);
-/* Adds or updates a maintenance wave: the maintenance of its machines is to be done by due, at most
- * cap machines down at a time. done: machines that are known to have had it. machines and done are
- * NULL-terminated; either may be NULL. */
+/* Adds or updates a maintenance wave: the maintenance of its machines is to be done by deadline, at
+ * most max_down machines down at a time. done: machines that are known to have had it. machines and
+ * done are NULL-terminated; either may be NULL. */
 void mt_controller_update_wave (struct mt_controller *ctl,
                                 int64_t number,
                                 char **machines,
                                 char **done,
-                                unsigned cap,
-                                int64_t due);
+                                unsigned max_down,
+                                int64_t deadline);
 
 /* Sets a machine's home pool as an earlier controller stored it; call it before the first list of
  * machines. A machine without a stored home belongs to the pool in which it is first listed. */
