--- a/include/medlartrack/acceptance.h
+++ b/include/medlartrack/acceptance.h
@@ -8,13 +8,13 @@
 
 enum mt_acceptance
 {
-  MT_ACCEPTANCE_NEWER,  /* newer than the held document: put it in force */
-  MT_ACCEPTANCE_SAME,   /* the held document: it is current as of now */
+  MT_ACCEPTANCE_NEWER,  /* newer than the held document: accept it */
+  MT_ACCEPTANCE_SAME,   /* equal to the held document, which is still current */
   MT_ACCEPTANCE_OLDER,  /* stale read, outdated peer or restored store: keep the held one */
   MT_ACCEPTANCE_FORKED, /* same version, other id: keep the held one, notify the operators */
 };
 
-/* held: the document in force; NULL if there is none yet. */
+/* Compares an offered document with the held one, which is in force; held may be NULL. */
 enum mt_acceptance mt_acceptance_compare (const struct mt_tables *held,
                                           const struct mt_tables *offered);
 
@@ -23,12 +23,12 @@
   MT_REPAIR_DONE,       /* the store has the held document again */
   MT_REPAIR_NOT_NEEDED, /* the second read gave no older value: the first one was stale */
   MT_REPAIR_CONFLICT,   /* another write came first; the watch will deliver it */
-  MT_REPAIR_FAILED,     /* no answer, or unknown result; the watch will deliver the value */
+  MT_REPAIR_FAILED,     /* no answer, or outcome unknown; the watch will deliver the value */
 };
 
 /* Repairs the store after a read returned an older document or none. Reads once more, and if that
  * value is older too, writes the held document by compare-and-swap on the index of the second read,
- * so that no edit made in the meantime is lost. */
+ * so that no edit made in the meantime is lost. Blocks on the store. */
 enum mt_repair
 mt_acceptance_repair (const struct mt_store *store, const struct mt_tables *held, GError **error);
 
--- a/include/medlartrack/arena.h
+++ b/include/medlartrack/arena.h
@@ -7,7 +7,8 @@
 
 struct mt_arena;
 
-/* limit: maximum number of bytes allocated over the arena's life; 0 means no limit. */
+/* Free the result with mt_arena_destroy. limit: maximum number of bytes allocated in total; 0: no
+ * limit. */
 struct mt_arena *mt_arena_create (size_t limit);
 void mt_arena_destroy (struct mt_arena *arena);
 /* Returns zeroed memory, or NULL if the limit would be exceeded. */
@@ -17,6 +18,7 @@
 /* Makes child a part of the arena: it counts against the arena's limit and is freed with the arena.
  * Returns false if the limit would be exceeded; child then still belongs to the caller. */
 bool mt_arena_adopt (struct mt_arena *arena, struct mt_arena *child);
+/* Returns the number of bytes that count against the limit. */
 size_t mt_arena_used (const struct mt_arena *arena);
 
 #endif
--- a/include/medlartrack/balance.h
+++ b/include/medlartrack/balance.h
@@ -1,5 +1,5 @@
-/* Load-balancing policies that choose the minion for a request. Pure functions over an array of
- * loads. */
+/* Load-balancing policies that choose the minion for a request. They change nothing but the state
+ * passed in; any thread. */
 #ifndef MEDLARTRACK_BALANCE_H
 #define MEDLARTRACK_BALANCE_H
 
@@ -14,7 +14,7 @@
   unsigned usable_slots;     /* slots that this daemon may use; 0: the minion gets no requests */
   unsigned in_flight;        /* requests of this daemon */
   unsigned others_in_flight; /* requests of the other daemons, as last reported */
-  unsigned penalty;          /* for recent failures; counts as this many requests in flight */
+  unsigned penalty;          /* recent failures, counted as this many requests in flight */
 };
 
 /* Random state and round-robin position. Each user of a policy has its own. */
@@ -39,7 +39,7 @@
 extern const struct mt_balance mt_balance_least_in_flight;
 extern const struct mt_balance mt_balance_two_choices;
 
-/* NULL-terminated; the first is the default. */
+/* All policies, NULL-terminated; the first is the default. */
 extern const struct mt_balance *const mt_balance_policies[];
 /* Returns the policy of this name, or NULL. */
 const struct mt_balance *mt_balance_find (const char *name);
--- a/include/medlartrack/batch.h
+++ b/include/medlartrack/batch.h
@@ -12,7 +12,7 @@
 #define MT_BATCH_MAX_RECORDS 4096
 #define MT_BATCH_ID_BYTES    16
 
-/* Numbers are part of the format: never reused. */
+/* The numbers are part of the format and are never reused. */
 enum mt_record_kind
 {
   MT_RECORD_CLAIM = 1,   /* extra: milliseconds after which a claim without an end counts as lost */
@@ -36,11 +36,13 @@
   GArray *records; /* of struct mt_record */
 };
 
+/* Makes the batch empty; clear it with mt_batch_clear. */
 void mt_batch_init (struct mt_batch *batch);
 void mt_batch_clear (struct mt_batch *batch);
-/* Returns the encoded bytes; the caller g_frees them. */
+/* Returns the encoded bytes and sets *len to their number; free them with g_free. */
 char *mt_batch_encode (const struct mt_batch *batch, size_t *len);
-/* Decodes into an initialised, empty batch. Fails with MT_ERROR_SYNTAX. */
+/* Decodes into an initialised, empty batch. Returns false with MT_ERROR_SYNTAX if bytes are
+ * invalid. */
 bool mt_batch_decode (struct mt_str bytes, struct mt_batch *batch, GError **error);
 
 #endif
--- a/include/medlartrack/breaker.h
+++ b/include/medlartrack/breaker.h
@@ -1,6 +1,6 @@
 /* Circuit breaker: a store that stops calling a service known to be down, so that no caller waits
  * for it. It probes the service at jittered times, so that daemons don't return to it all at once.
- * Shared by all users of the store; any thread may call. */
+ * Shared by all users of the store. Any thread. */
 #ifndef MEDLARTRACK_BREAKER_H
 #define MEDLARTRACK_BREAKER_H
 
@@ -29,12 +29,16 @@
   uint64_t opened;
 };
 
+/* Free the result with mt_breaker_destroy. */
 struct mt_breaker *mt_breaker_create (const struct mt_breaker_options *options);
 void mt_breaker_destroy (struct mt_breaker *breaker);
-/* The store is valid as long as the breaker. While the breaker is open, reads fail with
- * MT_ERROR_UNAVAILABLE and writes return MT_STORE_FAILED, except for one probe after each pause. */
+/* Returns the store to call instead of the inner one; valid as long as the breaker. While the
+ * breaker is open, reads fail with MT_ERROR_UNAVAILABLE and writes return MT_STORE_FAILED, except
+ * for one probe after each pause. */
 const struct mt_store *mt_breaker_store (struct mt_breaker *breaker);
+/* Returns whether the service is known to be down. */
 bool mt_breaker_is_open (struct mt_breaker *breaker);
+/* Returns the counts since the breaker was created. */
 struct mt_breaker_counts mt_breaker_counts (struct mt_breaker *breaker);
 
 #endif
--- a/include/medlartrack/capacity.h
+++ b/include/medlartrack/capacity.h
@@ -1,6 +1,6 @@
 /* Decides how many instances each pool of a data centre should have, from statistics of the pools'
- * demand that it keeps. A new planner starts without them and releases no instance until it has
- * collected its own. Not thread-safe. */
+ * demand. A new planner starts without statistics and releases no instance before it has collected
+ * some. Does no I/O. Not thread-safe. */
 #ifndef MEDLARTRACK_CAPACITY_H
 #define MEDLARTRACK_CAPACITY_H
 
@@ -20,9 +20,9 @@
 struct mt_capacity_stats
 {
   double mean;             /* moving mean over a long window */
-  double sustained;        /* lowest within the recent window: demand that outlasts a surge */
-  double peak;             /* highest, decaying */
-  double mean_surge_s;     /* moving mean of the length of its surges */
+  double sustained;        /* lowest within a recent window: demand that outlasts a surge */
+  double peak;             /* highest, decaying over time */
+  double mean_surge_s;     /* moving mean of the duration of a surge */
   double surge_interval_s; /* moving mean of the time from one surge's start to the next */
   unsigned surges;         /* observed so far */
   bool surging;
@@ -32,47 +32,53 @@
 struct mt_capacity_pool
 {
   const struct mt_pool *row;
-  unsigned serving;     /* instances live and serving, or draining to move here */
-  unsigned home;        /* instances that belong to it here by the tables, without those leaving */
-  unsigned min_serving; /* the row's minimum, plus one while a wave waits to take an instance out */
-  unsigned slots;       /* of one instance */
-  double demand_slots;  /* slots that are in use or waited for, by the current reports */
+  unsigned serving; /* instances that are live and serve the pool, or that drain to move to it */
+  unsigned home;    /* instances that belong to it by the tables, without those leaving */
+  unsigned min_serving; /* minimum of the pool's row, plus one while a wave waits to take an
+                           instance out */
+  unsigned slots;       /* slots of one instance */
+  double demand_slots;  /* slots in use or waited for according to the current reports */
   bool can_release;     /* one of its instances may drain now: budget and minimum allow it */
   /* Set by mt_capacity_decide. */
   struct mt_capacity_stats stats;
-  unsigned desired_instances; /* instances that the policy asks for */
+  unsigned desired_instances; /* number of instances that the policy asks for */
 };
 
 struct mt_capacity_policy
 {
   const char *name;
   const char *description;
-  /* Sets desired_instances of every pool, the spare pool included. */
+  /* Sets desired_instances of every pool, including the spare pool. */
   void (*decide) (struct mt_capacity_pool *pools, size_t n);
   bool moves;          /* false: no instance ever moves for capacity */
-  bool delays_release; /* keeps a surplus instance until that has cost as much as two moves */
+  bool delays_release; /* keeps a surplus instance until keeping it has cost as much as two moves */
 };
 
-/* All policies, terminated by one whose name is NULL; the first is the default. */
+/* All policies; the array ends with an entry whose name is NULL, the first entry is the default. */
 extern const struct mt_capacity_policy mt_capacity_policies[];
+/* Returns the policy of this name; NULL if there is none. */
 const struct mt_capacity_policy *mt_capacity_policy_find (const char *name);
 
+/* Free the result with mt_capacity_destroy. policy must outlive it. */
 struct mt_capacity *mt_capacity_create (const struct mt_capacity_policy *policy);
 void mt_capacity_destroy (struct mt_capacity *capacity);
 
-/* Adds the current demand of the pools to their statistics; call it once for each point in time. */
+/* Adds the current demand of the pools to their statistics; to be called once for each point in
+ * time. */
 void mt_capacity_observe (struct mt_capacity *capacity,
                           const struct mt_capacity_pool *pools,
                           size_t n,
                           int64_t now_s);
-/* Picks one move of an instance between pools; false if none is worth its cost now. */
+/* Chooses one move of an instance between two of the pools. Returns false if none is worth its cost
+ * now. */
 bool mt_capacity_decide (struct mt_capacity *capacity,
                          struct mt_capacity_pool *pools,
                          size_t n,
                          int64_t now_s,
                          const struct mt_capacity_pool **from,
                          const struct mt_capacity_pool **to);
-/* Returns what the policy last asked for; UINT_MAX before its first decision on the pool. */
+/* Returns the number of instances that the policy last asked for; UINT_MAX before its first
+ * decision on the pool. */
 unsigned mt_capacity_desired_instances (const struct mt_capacity *capacity, const char *pool);
 
 #endif
--- a/include/medlartrack/controller.h
+++ b/include/medlartrack/controller.h
@@ -1,6 +1,6 @@
 /* The fleet controller: decides for all pools together which machine is drained, maintained or
  * moved next. Does no I/O: the owner passes in the state of pools and machines and carries out the
- * orders. Single-threaded. Times are milliseconds of a clock that counts suspension. */
+ * orders. Not thread-safe. Times are milliseconds of a clock that counts suspension. */
 #ifndef MEDLARTRACK_CONTROLLER_H
 #define MEDLARTRACK_CONTROLLER_H
 
@@ -17,6 +17,7 @@
   bool allow_moves;       /* machines may change pool */
 };
 
+/* Returns a controller without pools and machines; free it with mt_controller_destroy. */
 struct mt_controller *mt_controller_create (const struct mt_controller_settings *settings);
 void mt_controller_destroy (struct mt_controller *ctl);
 
@@ -26,19 +27,20 @@
  * that no other pool needs are moved there. */
 void mt_controller_set_pool (struct mt_controller *ctl, const char *name, bool standby);
 
+/* A machine in the platform's list. */
 struct mt_controller_machine_info
 {
   const char *id;
   const char *pool;
   const char *rack;
-  const char *worker; /* its current incarnation; NULL if none runs */
+  const char *worker; /* id of the worker that runs on it; NULL if none runs */
   bool up;
-  bool in_maintenance; /* down for maintenance, no matter who ordered it */
+  bool in_maintenance; /* down for maintenance, whoever ordered it */
   struct mt_resources resources;
 };
 
-/* Replaces the list of machines. requested_at: when the list was requested; it says nothing new
- * about a machine on which an order was carried out since then. */
+/* Replaces the list of machines. requested_at: when the list was requested; rows of machines on
+ * which an order was carried out since then are ignored. */
 void mt_controller_update_machines (struct mt_controller *ctl,
                                     const struct mt_controller_machine_info *machines,
                                     size_t n,
@@ -67,13 +69,14 @@
 
 /* ---- output ---- */
 
-/* Updates the plan that mt_controller_next_order takes its orders from. */
+/* Updates the plan from which mt_controller_next_order takes its orders. */
 void mt_controller_plan (struct mt_controller *ctl, int64_t now);
 /* Returns the machines that are, or are about to be, outside their home pool: machine, home,
  * machine, home and so on, NULL-terminated; free with g_strfreev. NULL if all these homes are
  * stored. A move is ordered only once its machine's home is stored: otherwise the next controller
  * would take the machine's current pool for its home. */
 char **mt_controller_unstored_homes (struct mt_controller *ctl);
+/* To be called once the homes returned by mt_controller_unstored_homes are stored. */
 void mt_controller_homes_stored (struct mt_controller *ctl, char **homes);
 
 enum mt_controller_order_kind
@@ -93,18 +96,18 @@
   int64_t wave;
 };
 
-/* Gets the next order; false if nothing is to be ordered now. The result of each order has to be
- * passed to mt_controller_handle_result. */
+/* Updates the plan and gets the next order. Returns false if nothing is to be ordered now. The
+ * result of each order has to be passed to mt_controller_handle_result. */
 bool mt_controller_next_order (struct mt_controller *ctl,
                                int64_t now,
                                struct mt_controller_order *order);
 
 enum mt_controller_order_result
 {
-  MT_CONTROLLER_ORDER_DONE,
-  MT_CONTROLLER_ORDER_RETRY,
-  MT_CONTROLLER_ORDER_REJECTED,
-  MT_CONTROLLER_ORDER_UNKNOWN, /* it may have been carried out, or still be */
+  MT_CONTROLLER_ORDER_DONE,     /* carried out */
+  MT_CONTROLLER_ORDER_RETRY,    /* not carried out; may succeed later */
+  MT_CONTROLLER_ORDER_REJECTED, /* not carried out, and never will be */
+  MT_CONTROLLER_ORDER_UNKNOWN,  /* may have been carried out, or may still be */
 };
 
 void mt_controller_handle_result (struct mt_controller *ctl,
@@ -112,25 +115,26 @@
                                   enum mt_controller_order_result result,
                                   int64_t now);
 
-/* What a pool's scheduler has to know. The lists are NULL-terminated. */
+/* Directives for a pool's scheduler. The lists are NULL-terminated. */
 struct mt_controller_directives
 {
   char **cordon;          /* workers to drain now */
   char **ended_workers;   /* workers whose incarnation an order has ended */
   char **maintenance_due; /* workers to drain later, for maintenance */
-  int64_t planned_cpu;    /* capacity of the machines that the pool should have; 0 if unknown */
+  int64_t planned_cpu;    /* capacity of the machines that the pool should have, in thousandths of a
+                             core; 0 if unknown */
 };
 
 void mt_controller_directives_clear (struct mt_controller_directives *directives);
-/* Clear the result with mt_controller_directives_clear. */
+/* Returns the directives for a pool; clear them with mt_controller_directives_clear. */
 struct mt_controller_directives
 mt_controller_pool_directives (struct mt_controller *ctl, const char *pool, int64_t now);
-/* Whether a machine is down or about to be drained, so that the list of machines will change. */
+/* Returns whether a machine is down or to be drained, so that the list of machines will change. */
 bool mt_controller_expects_changes (const struct mt_controller *ctl);
-/* Whether a pool is short of machines or a machine is being drained: only then is it worth the cost
- * to fetch reports from the pools more often. */
+/* Returns whether a pool is short of machines or a machine is to be drained: only then are more
+ * frequent reports of the pools worth their cost. */
 bool mt_controller_needs_frequent_loads (const struct mt_controller *ctl);
-/* Whether every machine of the wave that still exists has begun its maintenance. */
+/* Returns whether every machine of the wave that still exists has begun its maintenance. */
 bool mt_controller_wave_done (const struct mt_controller *ctl, int64_t number);
 /* Returns the wave's machines that have begun their maintenance, NULL-terminated; free with
  * g_strfreev. */
--- a/include/medlartrack/dispatch.h
+++ b/include/medlartrack/dispatch.h
@@ -21,15 +21,15 @@
   MT_REFUSAL_RETRY_BUDGET, /* the retry budget is spent */
 };
 
-/* A request for a slot. The caller owns it and keeps it until it is completed, refused, expired or
- * cancelled. */
+/* A request for a slot. The caller owns it and keeps it until it has been completed, refused,
+ * expired or cancelled. */
 struct mt_ticket
 {
   uint64_t audience; /* requests of one audience share one FIFO queue */
   int64_t deadline_us;
   const char *avoid; /* minion that failed the previous attempt, or NULL */
   bool is_retry;     /* takes a token from the retry budget */
-  void *owner;
+  void *owner;       /* for the caller's use */
   /* Set when a slot is granted. */
   char *minion; /* name; owned by the dispatch until mt_dispatch_complete */
   const char *address;
@@ -44,7 +44,7 @@
 enum mt_dispatch_admission
 {
   MT_ADMISSION_GRANTED, /* the ticket holds a slot */
-  MT_ADMISSION_QUEUED,  /* queued; a callback reports the grant or the expiry */
+  MT_ADMISSION_QUEUED,  /* queued; a callback follows: granted or expired */
   MT_ADMISSION_REFUSED, /* not queued; the ticket's refusal gives the reason */
 };
 
@@ -62,18 +62,19 @@
 {
   const char *name;
   const char *description;
-  /* granted: a queued ticket got a slot. expired: a queued ticket was dropped. Both are called from
-   * within the dispatch's functions. */
+  /* granted: a queued ticket has got a slot. expired: a queued ticket was dropped; its refusal
+   * gives the reason. Both are called from within the functions below. */
   void (*granted) (struct mt_ticket *ticket);
   void (*expired) (struct mt_ticket *ticket);
 };
 
-/* seed: for random choices; must differ between daemons. */
+/* clock and callbacks must outlive the result; free it with mt_dispatch_destroy. policy: NULL for
+ * the default. seed: for random choices; must differ between daemons. */
 struct mt_dispatch *mt_dispatch_create (const struct mt_clock *clock,
                                         const struct mt_dispatch_callbacks *callbacks,
                                         const struct mt_balance *policy,
                                         uint64_t seed);
-/* No ticket may be queued or hold a slot. */
+/* Requires that no ticket is queued or holds a slot. */
 void mt_dispatch_destroy (struct mt_dispatch *dispatch);
 
 /* Replaces the set of minions. A removed minion finishes its requests in flight and gets no new
@@ -81,9 +82,9 @@
 void mt_dispatch_update (struct mt_dispatch *dispatch,
                          const struct mt_instance *const *instances,
                          size_t n);
-/* Sets this daemon's rank among the live daemons of its data centre, and reads from others() how
- * many requests the other daemons have in flight on each minion. others may be NULL: unknown,
- * counted as 0. */
+/* Sets this daemon's rank among the live daemons of its data centre. others returns how many
+ * requests the other daemons have in flight on a minion, and is called for each minion during the
+ * call only; NULL: unknown, counted as 0. */
 void mt_dispatch_set_share (struct mt_dispatch *dispatch,
                             struct mt_share share,
                             unsigned (*others) (void *ctx, const char *minion),
@@ -91,34 +92,44 @@
 /* Marks a minion that has announced its shutdown: it gets no new work until mt_dispatch_rejoin, a
  * new address, or its absence from an update. */
 void mt_dispatch_set_leaving (struct mt_dispatch *dispatch, const char *name);
+/* Returns whether the minion has announced its shutdown. */
 bool mt_dispatch_is_leaving (const struct mt_dispatch *dispatch, const char *name);
+/* Clears the mark of mt_dispatch_set_leaving. */
 void mt_dispatch_rejoin (struct mt_dispatch *dispatch, const char *name);
 
+/* Grants the ticket a slot, queues it, or refuses it. queue_limit: most tickets queued for the
+ * pool. */
 enum mt_dispatch_admission
 mt_dispatch_submit (struct mt_dispatch *dispatch, struct mt_ticket *ticket, unsigned queue_limit);
-/* Releases the ticket's slot and grants free slots to queued tickets. */
+/* Releases the slot of a granted ticket, records the result for the minion's health and grants free
+ * slots to queued tickets. */
 void mt_dispatch_complete (struct mt_dispatch *dispatch,
                            struct mt_ticket *ticket,
                            enum mt_dispatch_result result);
-/* Removes a queued ticket, for example when its caller disconnected. */
+/* Removes a queued ticket, for example when its caller has disconnected. */
 void mt_dispatch_cancel (struct mt_dispatch *dispatch, struct mt_ticket *ticket);
 /* Handles timeouts: expires queued tickets, starts probes, grants slots. To be called at
  * mt_dispatch_next_tick_us. */
 void mt_dispatch_tick (struct mt_dispatch *dispatch);
-/* The earliest time at which mt_dispatch_tick can grant or expire this queued ticket. */
+/* Returns the earliest time at which mt_dispatch_tick can grant or expire this queued ticket. */
 int64_t mt_dispatch_next_tick_us (const struct mt_dispatch *dispatch,
                                   const struct mt_ticket *ticket);
 
+/* Returns the number of queued tickets. */
 unsigned mt_dispatch_queue_length (const struct mt_dispatch *dispatch);
-/* Requests that this daemon has in flight on one minion, or on all minions if name is NULL. */
+/* Returns the number of requests that this daemon has in flight on one minion, or on all minions if
+ * name is NULL. */
 unsigned mt_dispatch_in_flight (const struct mt_dispatch *dispatch, const char *name);
-/* Slots that this daemon may use now, on one minion or on all minions if name is NULL. */
+/* Returns the number of slots that this daemon may use now on one minion, or on all minions if name
+ * is NULL. */
 unsigned mt_dispatch_usable_slots (const struct mt_dispatch *dispatch, const char *name);
+/* Returns the number of ejected minions. */
 unsigned mt_dispatch_ejected_count (const struct mt_dispatch *dispatch);
-/* Estimated time to drain the current queue. */
+/* Returns the estimated time until the current queue is served. */
 int64_t mt_dispatch_backlog_us (const struct mt_dispatch *dispatch);
-/* Moving mean of the time that a request holds its slot; 0 before the first sample. */
+/* Returns the moving mean of the time that a request holds its slot; 0 before the first sample. */
 int64_t mt_dispatch_service_us (const struct mt_dispatch *dispatch);
+/* Calls visit for each minion with this daemon's requests in flight on it. */
 void mt_dispatch_each (const struct mt_dispatch *dispatch,
                        void (*visit) (void *ctx, const char *minion, unsigned in_flight),
                        void *ctx);
--- a/include/medlartrack/error.h
+++ b/include/medlartrack/error.h
@@ -1,4 +1,5 @@
-/* Error codes. Every message names what was found and the remedy. */
+/* Error codes of the domain MT_ERROR. Every message names what was found and the remedy. Any
+ * thread. */
 #ifndef MEDLARTRACK_ERROR_H
 #define MEDLARTRACK_ERROR_H
 
--- a/include/medlartrack/grants.h
+++ b/include/medlartrack/grants.h
@@ -1,7 +1,7 @@
 /* Allocates the quotas of workspaces to the pools; runs on the fleet leader. Each pool's leader
  * stays within the share that it was granted. A share is revoked before it is granted to another
- * pool, and counts as revoked only once the pool has acknowledged it. Does no I/O; single-threaded;
- * times in ms. */
+ * pool, and counts as revoked only once the pool has acknowledged it. Does no I/O. Not thread-safe.
+ * Times are milliseconds of a clock that counts suspension. */
 #ifndef MEDLARTRACK_GRANTS_H
 #define MEDLARTRACK_GRANTS_H
 
@@ -10,11 +10,13 @@
 
 struct mt_grants;
 
-/* token: fencing token of the leadership that allocates. */
+/* Returns an allocation without pools; free it with mt_grants_destroy. token: fencing token of the
+ * fleet leader. */
 struct mt_grants *mt_grants_create (int64_t token, int64_t now);
 void mt_grants_destroy (struct mt_grants *grants);
 
-/* pools: NULL-terminated; workspaces: NULL if there are none. */
+/* Sets the pools and the workspaces with their quotas; the state of those that stay is kept. pools:
+ * names, NULL-terminated; workspaces: NULL if there are none. */
 void mt_grants_configure (struct mt_grants *grants,
                           const char *const *pools,
                           const struct mt_workspaces *workspaces);
--- a/include/medlartrack/jobs.h
+++ b/include/medlartrack/jobs.h
@@ -22,7 +22,9 @@
   uint32_t accelerators;
 };
 
+/* Returns whether need is within available, for each resource. */
 bool mt_job_resources_fit (struct mt_job_resources need, struct mt_job_resources available);
+/* Adds each resource. */
 struct mt_job_resources mt_job_resources_add (struct mt_job_resources a, struct mt_job_resources b);
 /* Subtracts each resource; a negative difference becomes 0. */
 struct mt_job_resources mt_job_resources_sub (struct mt_job_resources a, struct mt_job_resources b);
@@ -43,7 +45,7 @@
   const char *pool;
   struct mt_job_resources declared; /* by the submitter; often far from the real usage */
   enum mt_urgency urgency;
-  bool may_run_twice;
+  bool may_run_twice; /* if false, a job whose worker is lost waits for proof of its task's end */
 };
 
 struct mt_worker_spec
@@ -69,7 +71,7 @@
                   unsigned same_rack);
 };
 
-/* Array that ends with an entry whose name is NULL; the first entry is the default. */
+/* Returns an array that ends with an entry whose name is NULL; the first entry is the default. */
 const struct mt_placement_policy *mt_placement_policies (void);
 
 /* Scheduler options. mt_jobs_default_options returns usable values for all of them. */
@@ -103,6 +105,7 @@
   MT_JOB_POISON,        /* failed on or crashed several workers; not started again */
 };
 
+/* Returns a static text. */
 const char *mt_job_state_name (enum mt_job_state state);
 
 enum mt_job_action_kind
@@ -148,6 +151,7 @@
 
 struct mt_jobs;
 
+/* clock must outlive the result; options are copied. Free it with mt_jobs_destroy. */
 struct mt_jobs *mt_jobs_create (const struct mt_clock *clock,
                                 const struct mt_jobs_options *options);
 void mt_jobs_destroy (struct mt_jobs *jobs);
@@ -157,33 +161,39 @@
 void mt_jobs_set_worker (struct mt_jobs *jobs, const struct mt_worker_spec *spec);
 /* Changes only the worker's pool. */
 void mt_jobs_move_worker (struct mt_jobs *jobs, const char *name, const char *pool);
-/* Pool of a worker, or NULL if the worker is unknown. Valid until the worker changes its pool. */
+/* Returns the worker's pool, valid until it changes; NULL if the worker is unknown. */
 const char *mt_jobs_worker_pool (const struct mt_jobs *jobs, const char *name);
-/* Names of all workers. The caller frees the array; the names belong to jobs. */
+/* Returns the names of all workers. The caller frees the array; the names belong to jobs. */
 GPtrArray *mt_jobs_worker_names (const struct mt_jobs *jobs);
-/* A draining worker gets no new jobs, and its running jobs are checkpointed and leave it. */
+/* Sets whether the worker is draining: it then gets no new jobs, and its running jobs are
+ * checkpointed and leave it. */
 void mt_jobs_drain_worker (struct mt_jobs *jobs, const char *name, bool draining);
-/* The worker's lease expired; its tasks may still be running. Ignored if the lease is not the
- * current one. */
+/* To be called when the worker's lease has expired; its tasks may still be running. Ignored if the
+ * lease is not the current one. */
 void mt_jobs_worker_lease_lost (struct mt_jobs *jobs, const char *name, uint64_t lease);
-/* The worker holds the same lease again without a restart; its tasks may have continued to run. */
+/* To be called when the worker holds the same lease again without a restart; its tasks may have
+ * continued to run. */
 void mt_jobs_worker_lease_regained (struct mt_jobs *jobs, const char *name, uint64_t lease);
-/* The worker restarted with a newer lease; none of its earlier tasks is running any more. */
+/* To be called when the worker has restarted with a newer lease: none of its earlier tasks is
+ * running any more. */
 void mt_jobs_worker_restarted (struct mt_jobs *jobs, const char *name, uint64_t lease);
 /* Calls visit for each worker that has tasks according to the scheduler state. */
 void mt_jobs_foreach_busy_worker (const struct mt_jobs *jobs,
                                   void (*visit) (void *ctx, const char *worker, unsigned tasks),
                                   void *ctx);
-/* Number of tasks on a worker according to the scheduler state. */
+/* Returns the number of tasks on a worker according to the scheduler state. */
 unsigned mt_jobs_worker_task_count (const struct mt_jobs *jobs, const char *name);
 
+/* Sets the quota of a team. */
 void mt_jobs_set_quota (struct mt_jobs *jobs, const char *name, struct mt_job_resources quota);
 
-/* Returns false if a job of that name exists or was cancelled before; repeated submissions and
- * cancellations have no further effect. */
+/* Adds a job. Returns false without any change if a job of that name exists or was cancelled
+ * before. */
 bool mt_jobs_submit (struct mt_jobs *jobs, const struct mt_job_spec *spec);
-/* Also works before the job is submitted. A late report never reverts it. */
+/* Cancels a job, also one that is not submitted yet. Repeated cancellations have no effect, and a
+ * late report never reverts a cancellation. */
 void mt_jobs_cancel (struct mt_jobs *jobs, const char *name);
+/* Handles a worker's report on a task. */
 void mt_jobs_report (struct mt_jobs *jobs, const struct mt_job_report *report);
 /* Removes an ended job, or a cancellation recorded in advance, once its row has left the tables.
  * Returns false without any change if the job has not ended. */
@@ -193,19 +203,21 @@
  * first. */
 void mt_jobs_plan (struct mt_jobs *jobs, GArray *actions);
 
+/* Returns MT_JOB_UNKNOWN if there is no job of that name. */
 enum mt_job_state mt_jobs_state (const struct mt_jobs *jobs, const char *name);
-/* Reason for MT_JOB_UNSCHEDULABLE or MT_JOB_POISON; NULL in other states. */
+/* Returns the reason for MT_JOB_UNSCHEDULABLE or MT_JOB_POISON; NULL in other states. */
 const char *mt_jobs_reason (const struct mt_jobs *jobs, const char *name);
 /* Calls visit for each job; the strings are valid until the next call on jobs. */
 void mt_jobs_foreach_job (
     const struct mt_jobs *jobs,
     void (*visit) (void *ctx, const char *name, enum mt_job_state state, const char *reason),
     void *ctx);
+/* Returns whether the worker is in quarantine. */
 bool mt_jobs_is_quarantined (const struct mt_jobs *jobs, const char *name);
-/* Resources allocated to a team's jobs, and the part of them borrowed beyond its quota. */
+/* Return the resources allocated to a team's jobs, and those of them borrowed beyond its quota. */
 struct mt_job_resources mt_jobs_team_allocated (const struct mt_jobs *jobs, const char *name);
 struct mt_job_resources mt_jobs_team_borrowed (const struct mt_jobs *jobs, const char *name);
-/* Resources of a worker that are allocated to jobs. */
+/* Returns the resources of a worker that are allocated to jobs. */
 struct mt_job_resources mt_jobs_worker_allocated (const struct mt_jobs *jobs, const char *name);
 
 /* Appends the state changes since the last call as one msgpack batch to be made durable; appends
--- a/include/medlartrack/log.h
+++ b/include/medlartrack/log.h
@@ -1,5 +1,5 @@
 /* Numbered log events on top of GLib's structured logging. They are listed in event_list.h; a test
- * compares that list with docs/EVENTS.md. Any thread may log. */
+ * compares the list with docs/EVENTS.md. Any thread. */
 #ifndef MEDLARTRACK_LOG_H
 #define MEDLARTRACK_LOG_H
 
@@ -15,7 +15,7 @@
 
 struct mt_event_info
 {
-  int id;
+  int id; /* enum mt_event */
   const char *name;
   GLogLevelFlags level;
   const char *text;
@@ -39,11 +39,11 @@
   MT_LOG_ERROR,
 };
 
-/* Installs the log writer; call it once, before threads start. Each event is written as one line to
- * standard error, valid whatever bytes its detail contains. */
+/* Installs the log writer; to be called once, before threads start. Each event is written to
+ * standard error as one line, which is valid whatever bytes its detail contains. */
 void mt_log_setup (enum mt_log_format format, enum mt_log_level level, const char *process_name);
 
-/* Logs one event. detail is a printf format for "key=value ..." text; NULL for none. */
+/* Logs one event. detail: printf format of a "key=value ..." text; NULL for none. */
 void mt_log_event (enum mt_event event, const char *detail, ...) G_GNUC_PRINTF (2, 3);
 
 #endif
--- a/include/medlartrack/membership.h
+++ b/include/medlartrack/membership.h
@@ -1,11 +1,11 @@
 /* Membership: the daemons known to this one, the versions that each has in force and the load that
- * each reports. Pure state, updated by heartbeats; no I/O. Not thread-safe: the owner holds a lock
- * around every call.
+ * each reports. Pure state, updated by heartbeats; does no I/O. Not thread-safe: the owner holds a
+ * lock around every call.
  *
- * Daemons gossip: each calls a few others in turn, sends the newest heartbeat that it has of every
- * member, and gets back newer ones. A member's state depends only on when its heartbeat last grew,
- * never on another daemon's opinion, and on a clock that does not advance while this daemon is
- * paused. */
+ * Daemons gossip: each calls a few others in turn, sends the newest heartbeat that it knows of
+ * every member, and gets back those that are newer at the other daemon. A member's state depends
+ * only on when its heartbeat last grew, never on another daemon's opinion, and on a clock that does
+ * not advance while this daemon is paused. */
 #ifndef MEDLARTRACK_MEMBERSHIP_H
 #define MEDLARTRACK_MEMBERSHIP_H
 
@@ -51,16 +51,17 @@
   char *zone;
   char *address;             /* IP:PORT of its peer listener */
   uint64_t incarnation;      /* higher after a restart under the same name */
-  uint64_t heartbeat;        /* number of its newest heartbeat */
+  uint64_t heartbeat;        /* number of its newest heartbeat known here */
   int64_t heartbeat_seen_us; /* when heartbeat last grew here, on the membership's own clock */
-  int64_t heartbeat_age_us;  /* time since then; updated before a member is returned or visited */
+  int64_t heartbeat_age_us;  /* time since heartbeat_seen_us; updated before a member is returned or
+                                visited */
   bool leaving;              /* stopping gracefully */
   enum mt_reach reach;
   uint64_t tables_version;
-  uint64_t assign_version; /* assignment document in force, 0 for none */
+  uint64_t assign_version; /* version of the assignment document in force; 0: none */
   /* Only for members of this daemon's own data centre; empty otherwise. A minion or pool that is
    * not listed has no load. */
-  uint64_t loads_assign_version; /* assignment document in force when the loads were read */
+  uint64_t loads_assign_version; /* version of the document in force when the loads were read */
   struct mt_member_load *loads;
   size_t n_loads;
   struct mt_member_demand *demands;
@@ -92,18 +93,20 @@
   const char *zone;
   const char *address;
   uint64_t incarnation; /* for example the wall time at start, in microseconds */
-  const struct mt_membership_callbacks *callbacks; /* or NULL */
+  const struct mt_membership_callbacks *callbacks; /* NULL: none */
   void *ctx;
 };
 
 struct mt_membership;
 
+/* clock and callbacks must outlive the result; free it with mt_membership_destroy. */
 struct mt_membership *mt_membership_create (const struct mt_membership_options *options);
 void mt_membership_destroy (struct mt_membership *membership);
 
 /* Sets this daemon's versions, published with its next heartbeat. Versions never decrease. */
 void
 mt_membership_set_versions (struct mt_membership *membership, uint64_t tables, uint64_t assign);
+/* Announces with the next heartbeats that this daemon stops. */
 void mt_membership_set_leaving (struct mt_membership *membership);
 /* Sets this daemon's load report. Entries that are not all zero are copied, the others left out.
  * Publishing is limited in bytes per second, see docs/membership.md; a changed assignment version
@@ -116,16 +119,18 @@
 /* Advances this daemon's own heartbeat; suspects and removes silent members. */
 void mt_membership_heartbeat (struct mt_membership *membership);
 
-/* The three steps of one gossip exchange. Returned messages are malloced; the caller frees them. */
+/* The three steps of one gossip exchange. Messages are freed with free.
+ *
+ * Returns the request to send to another daemon. */
 char *mt_membership_make_request (struct mt_membership *membership, size_t *len);
-/* Merges a request and returns a response with everything that is newer here. Returns NULL and sets
- * error if the request is invalid. */
+/* Merges a request and returns a response with everything that is newer here; NULL with an error if
+ * the request is invalid. */
 char *mt_membership_handle_request (struct mt_membership *membership,
                                     struct mt_str request,
                                     size_t *len,
                                     GError **error);
-/* Merges a response; an invalid one is rejected as a whole. *responder is set to the responder's
- * name; the caller g_frees it. */
+/* Merges a response and sets *responder to the name of its sender, to be freed with g_free. Returns
+ * false with an error if the response is invalid; it is then rejected as a whole. */
 bool mt_membership_handle_response (struct mt_membership *membership,
                                     struct mt_str response,
                                     char **responder,
@@ -133,21 +138,25 @@
 /* Records the result of this daemon's own call to a member. */
 void mt_membership_record_call (struct mt_membership *membership, const char *name, bool ok);
 
-/* Stores up to count addresses to call next, each to be g_freed, and returns their number. Members
- * are called in turn, so that each is called within members/count rounds. Now and then a removed
- * member is called as well, to find the other side of a network partition that has healed. */
+/* Stores up to count addresses to call next, each to be freed with g_free, and returns their
+ * number. Members are picked in turn, so that each is called within members/count rounds.
+ * Occasionally a removed member is picked as well, to find the other side of a network partition
+ * that has healed. */
 size_t mt_membership_pick_peers (struct mt_membership *membership, char **out, size_t count);
 
-/* The member, or NULL; valid until the next call that changes the membership. */
+/* Return the member of that name (NULL if there is none) and this daemon's own entry; valid until
+ * the next call that changes the membership. */
 const struct mt_member *mt_membership_find (struct mt_membership *membership, const char *name);
 const struct mt_member *mt_membership_self (struct mt_membership *membership);
-/* Whether a heartbeat arrived within MT_MEMBERSHIP_SUSPECT_US. Members that are leaving count too;
- * this daemon itself is always alive. */
+/* Returns whether a heartbeat has arrived within MT_MEMBERSHIP_SUSPECT_US, also for members that
+ * are leaving. This daemon itself is always alive. */
 bool mt_membership_is_alive (const struct mt_member *member);
-/* Visits all members in the order of their names, including dead ones that are not yet removed. */
+/* Calls visit for all members in the order of their names, including silent ones that are not yet
+ * removed. */
 void mt_membership_each (struct mt_membership *membership,
                          void (*visit) (void *ctx, const struct mt_member *member),
                          void *ctx);
+/* Returns the number of members. */
 size_t mt_membership_count (const struct mt_membership *membership);
 
 #endif
--- a/include/medlartrack/retry_budget.h
+++ b/include/medlartrack/retry_budget.h
@@ -5,20 +5,22 @@
 
 #include <stdbool.h>
 
-/* In thousandths of a token. */
+/* Amounts in thousandths of a token. */
 #define MT_RETRY_COST       1000
 #define MT_RETRY_DEPOSIT    100   /* one retry per ten first attempts */
 #define MT_RETRY_MAX_TOKENS 10000 /* burst size and initial balance */
 
 struct mt_retry_budget
 {
-  unsigned tokens;
+  unsigned tokens; /* balance, in thousandths of a token */
 };
 
+/* Sets the initial balance. */
 void mt_retry_budget_init (struct mt_retry_budget *budget);
-/* Called once per first attempt. */
+/* To be called once for each first attempt. */
 void mt_retry_budget_deposit (struct mt_retry_budget *budget);
-/* Returns false if the request must not be retried. */
+/* Takes the cost of a retry. Returns false if the balance is too low: the request must not be
+ * retried. */
 bool mt_retry_budget_take (struct mt_retry_budget *budget);
 
 #endif
--- a/include/medlartrack/scheduler.h
+++ b/include/medlartrack/scheduler.h
@@ -1,8 +1,8 @@
 /* The scheduler of one pool. It records which task runs where, places waiting tasks, rates
- * workers by their outcomes, and decides what must be durable before an order is sent. No I/O:
- * the owner passes in what it receives and carries out the orders it takes. Not thread-safe.
- * Times are milliseconds of a monotonic clock that counts suspension, except those named "wall"
- * (Unix time). */
+ * workers by their outcomes, and decides what must be durable before an order is sent. Does no I/O:
+ * the owner passes in what it receives, stores what has changed and sends the orders. Not
+ * thread-safe. Times are milliseconds of a monotonic clock that counts suspension, except those
+ * named "wall" (Unix time in ms). Strings passed in are copied. */
 #ifndef MEDLARTRACK_SCHEDULER_H
 #define MEDLARTRACK_SCHEDULER_H
 
@@ -16,47 +16,49 @@
 
 struct mt_scheduler_settings
 {
-  const char *name;
-  int64_t lease_ms;      /* lease that each hold grants to a worker's tasks */
+  const char *name;      /* of the pool */
+  int64_t lease_ms;      /* duration of the lease that each hold grants to a worker's tasks */
   int64_t max_lease_ms;  /* longest lease that a worker accepts */
-  double remote_factor;  /* multiple of the run time on a worker away from the data */
-  int64_t retention_ms;  /* shortest time that a job's records are kept after its end */
-  int64_t stop_grace_ms; /* how long a run may go on after it was told to stop */
+  double remote_factor;  /* run time on a worker outside the step's rack, relative to one inside */
+  int64_t retention_ms;  /* shortest time for which a job's records are kept after its end */
+  int64_t stop_grace_ms; /* longest time that a run goes on after it was ordered to stop */
 };
 
 struct mt_route_policy
 {
-  int priority; /* 0 is placed first */
-  int max_attempts;
-  double stretch;       /* the objective is this multiple of the longest chain ... */
+  int priority;     /* 0 is placed first */
+  int max_attempts; /* failed runs of one task after which its job has failed */
+  double stretch;   /* the objective is this multiple of the run time of the longest chain ... */
   int64_t objective_ms; /* ... plus this */
 };
 
 /* ---- input from the owner ---- */
 
+/* Returns a scheduler without jobs and workers; free it with mt_scheduler_destroy. */
 struct mt_scheduler *mt_scheduler_create (const struct mt_scheduler_settings *settings);
 void mt_scheduler_destroy (struct mt_scheduler *sched);
 
+/* Sets the policy of a route. Routes without one have one attempt and no slack. */
 void mt_scheduler_set_route (struct mt_scheduler *sched,
                              const char *name,
                              const struct mt_route_policy *policy);
 
-/* Limits of one workspace in all pools together; this pool is one of `pools`. */
+/* Limits of one workspace in all pools together. */
 struct mt_workspace_limits
 {
   struct mt_resources quota; /* 0: no limit */
   int64_t rate;              /* jobs per second; 0: no limit */
-  unsigned pools;
+  unsigned pools;            /* number of pools that share the quota */
 };
 
+/* Sets the limits of a workspace. */
 void mt_scheduler_set_workspace (struct mt_scheduler *sched,
                                  const char *name,
                                  const struct mt_workspace_limits *limits);
 
-/* This pool's shares of workspace quotas, granted by the fleet's leader. The part beyond an even
- * share is a lease of MT_GRANT_LEASE_MS from the last message. Returns false, and ignores the
- * message, if it is not newer than the last one. */
+/* Duration of a grant beyond an even share of the quota, counted from the last message. */
 #define MT_GRANT_LEASE_MS 2000
+/* This pool's share of a workspace's quota, granted by the fleet's leader. */
 struct mt_grant
 {
   const char *workspace;
@@ -65,13 +67,15 @@
 
 struct mt_grant_message
 {
-  int64_t token;                 /* of the granting leader; a higher token wins */
-  uint64_t sequence;             /* of the leader's messages */
-  bool all;                      /* requests a report on all accounts */
+  int64_t token;                 /* fencing token of the granting leader; a higher one wins */
+  uint64_t sequence;             /* number of the message; grows with each message of the leader */
+  bool all;                      /* asks for a report on all accounts */
   const struct mt_grant *grants; /* changed grants only */
   size_t n_grants;
 };
 
+/* Applies the grants of a message. Returns false without any change if the message is not newer
+ * than the last one. */
 bool mt_scheduler_apply_grants (struct mt_scheduler *sched,
                                 const struct mt_grant_message *message,
                                 int64_t now);
@@ -81,30 +85,33 @@
 {
   const char *workspace;
   struct mt_resources used;            /* running, ordered, or being stopped */
-  struct mt_resources waiting;         /* needed by tasks that could start */
+  struct mt_resources waiting;         /* needed by tasks that are ready to start */
   struct mt_resources largest_waiting; /* largest need of one such task */
   struct mt_resources granted;         /* by the last message that named the workspace */
   bool has_grant;                      /* a message has named the workspace */
 };
 
-/* Fills `out` with the accounts of workspaces that have a limit. Unless the last grant message
- * asked for all, accounts with a grant and without usage or waiting tasks are left out. Returns the
- * number written. */
+/* Fills out with up to max accounts of workspaces that have a limit and returns their number.
+ * Unless the last grant message asked for all accounts, those with a grant and without usage or
+ * waiting tasks are left out. The names are valid until the scheduler is destroyed. */
 size_t
 mt_scheduler_accounts (const struct mt_scheduler *sched, struct mt_account_view *out, size_t max);
 
-/* Takes ownership of spec, even if the job is already known. Returns false if it is. */
+/* Adds a job. Takes ownership of spec. Returns false, and frees spec, if a job of that id is known.
+ * wall: time from which the job's age since spec->accepted_ms is computed. */
 bool mt_scheduler_submit (struct mt_scheduler *sched,
                           struct mt_job_spec *spec,
                           int64_t now,
                           int64_t wall);
-/* Restores the durable progress of a submitted job from mt_scheduler_job_record's text and the
- * store's revision of it. Returns false if the record can't be read. The job then starts from the
- * beginning, which is safe only if none of its tasks can be running. */
+/* Restores the durable progress of a submitted job from a text of mt_scheduler_job_record and its
+ * revision in the store. Returns false if the job isn't known or the record can't be read. The job
+ * then starts from the beginning, which is safe only if none of its tasks can be running. */
 bool mt_scheduler_restore (
     struct mt_scheduler *sched, const char *id, const char *record, int64_t revision, int64_t now);
-/* The cancellation must be durable already. Returns false if the job isn't known. */
+/* Ends a job as cancelled; the cancellation must be durable already. Returns false if the job isn't
+ * known. */
 bool mt_scheduler_cancel (struct mt_scheduler *sched, const char *id, int64_t now);
+/* Returns whether the job is known: submitted and not yet removed. */
 bool mt_scheduler_has_job (const struct mt_scheduler *sched, const char *id);
 
 enum mt_job_state
@@ -117,17 +124,18 @@
   MT_JOB_UNKNOWN,
 };
 
+/* Names of the states, by enum mt_job_state. */
 extern const char *const mt_job_state_names[];
-/* Returns MT_JOB_UNKNOWN if name is not the name of a state. */
+/* Returns the state of that name; MT_JOB_UNKNOWN if there is none. */
 enum mt_job_state mt_job_state_parse (struct mt_str name);
-/* No task of the job runs or will run. */
+/* Returns whether a job in this state has ended: none of its tasks will start any more. */
 bool mt_job_state_is_final (enum mt_job_state state);
 
-/* The job's workspace, "" for none; NULL if the job isn't known. */
+/* Returns the job's workspace, "" for none; NULL if the job isn't known. */
 const char *mt_scheduler_job_workspace (const struct mt_scheduler *sched, const char *id);
-/* The durable state. */
+/* Returns the job's durable state; MT_JOB_UNKNOWN if the job isn't known. */
 enum mt_job_state mt_scheduler_job_state (const struct mt_scheduler *sched, const char *id);
-/* Accepted jobs of the route of which no task has started. */
+/* Returns the number of accepted jobs of the route of which no task has started. */
 unsigned mt_scheduler_pending_jobs (const struct mt_scheduler *sched, const char *name);
 
 /* A worker's entry in the registry. */
@@ -139,55 +147,65 @@
   const char *zone;
   const char *const *labels; /* NULL-terminated */
   struct mt_resources resources;
-  bool leaving;
+  bool leaving; /* the worker is about to shut down */
 };
 
+/* Adds a worker or updates it from its registry entry. A higher start time under the same id is a
+ * new incarnation: the tasks of the previous one run again elsewhere. */
 void mt_scheduler_update_worker (struct mt_scheduler *sched,
                                  const struct mt_worker_entry *entry,
                                  int64_t now);
-/* The worker's registry entry is gone; the worker may still run. */
+/* To be called when the worker's registry entry is gone; its tasks may still run. */
 void mt_scheduler_worker_unlisted (struct mt_scheduler *sched, const char *id, int64_t now);
-/* The worker's current incarnation has provably ended: nothing of it runs. */
+/* To be called when the worker's current incarnation has provably ended: none of its tasks runs.
+ * proof: reason for the log. */
 void mt_scheduler_worker_ended (struct mt_scheduler *sched,
                                 const char *id,
                                 int64_t now,
                                 const char *proof);
-/* Places no new work on the worker until `until`. With move_long_running, long-running tasks are
- * moved off it within their step's max_unavailable. */
+/* Places no new work on the worker before `until`. With move_long_running, its long-running tasks
+ * are moved off within the max_unavailable of their steps. */
 void mt_scheduler_cordon (struct mt_scheduler *sched,
                           const char *id,
                           int64_t until,
                           bool move_long_running);
 
-/* Announces, valid until `until`, that the worker will be drained later: long-running tasks are
- * placed elsewhere first. */
+/* Announces until `until` that the worker will be drained later: other workers are preferred for
+ * long-running tasks. */
 void mt_scheduler_announce_drain (struct mt_scheduler *sched, const char *id, int64_t until);
 
-/* Tickets: on routes that require them, only workers with a ticket may run the step. */
+/* Adds a ticket that lets the worker run the step before `until`; text is sent with the start.
+ * step_name: task of the MT_ORDER_REQUEST_TICKETS. */
 void mt_scheduler_add_ticket (struct mt_scheduler *sched,
                               const char *step_name,
                               const char *worker,
                               const char *text,
                               int64_t until);
+/* To be called when an MT_ORDER_REQUEST_TICKETS was answered, after its tickets were added, or has
+ * failed. */
 void mt_scheduler_tickets_answered (struct mt_scheduler *sched,
                                     const char *step_name,
                                     int64_t now,
                                     bool ok);
+/* Sets whether the route's tasks may only start on workers that have a ticket for their step. */
 void mt_scheduler_require_tickets (struct mt_scheduler *sched, const char *name, bool required);
 
-/* Capacity that the pool is about to have, in thousandths of a core; valid until `until`. */
+/* Announces the capacity that the pool is about to have, in thousandths of a core; valid until
+ * `until`. */
 void mt_scheduler_expect_capacity (struct mt_scheduler *sched, int64_t cpu, int64_t until);
 
 /* ---- wait estimate ---- */
 
 struct mt_wait_estimate
 {
-  int64_t wait_ms;        /* wait behind the work that goes first */
-  int64_t retry_after_ms; /* 0: the job can complete while that is useful, or nothing indicates
-                             otherwise; else it can't, but could if submitted this much later */
+  int64_t wait_ms; /* expected wait behind work with precedence */
+  /* 0: the job can complete while its result is useful, or nothing indicates otherwise; else the
+   * delay after which a new submission could. */
+  int64_t retry_after_ms;
 };
 
-/* For a job of the route submitted now, whose longest chain is estimated at chain_ms. */
+/* Estimates the wait of a job of the route that is submitted now and whose longest chain takes
+ * chain_ms by the caller's estimate. */
 struct mt_wait_estimate mt_scheduler_estimate_wait (struct mt_scheduler *sched,
                                                     const char *route,
                                                     int64_t chain_ms,
@@ -204,49 +222,53 @@
   MT_ORDER_REQUEST_TICKETS,
 };
 
-/* Borrows its strings from the scheduler; valid until the next call that changes the scheduler. */
+/* An order to send to a worker. Its strings belong to the scheduler and are valid until the next
+ * call that changes the scheduler. */
 struct mt_order
 {
   enum mt_order_kind kind;
   const char *worker;
   const char *address;
-  char task[80]; /* ID.OCCURRENCE.STEP.INDEX */
+  char task[80]; /* ID.OCCURRENCE.STEP.INDEX; of a ticket request: ID.OCCURRENCE.STEP */
   unsigned run;
   const char *payload;
   const char *checkpoint; /* NULL: none */
   const char *ticket;     /* NULL: none */
   int64_t lease_end_ms;   /* absolute, on the worker's clock; 0: no lease requested, or the worker's
                              clock is unknown */
-  unsigned percent;
-  int64_t acked_end; /* ends up to this sequence number are durable */
-  int64_t wait_ms;
-  int64_t link_delay_ms; /* delay in the owner's link before the order leaves */
-  char **workers;        /* of a ticket request: NULL-terminated, owned by the order */
+  unsigned percent;       /* of a pace order: percent of full speed */
+  int64_t acked_end;      /* of a hold: ends up to this sequence number are durable */
+  int64_t wait_ms;        /* of a hold: longest wait at the worker for a run to end */
+  int64_t link_delay_ms;  /* delay in the owner's link before the order leaves */
+  char **workers;         /* of a ticket request: NULL-terminated, owned by the order */
 };
 
-/* Returns false if there is nothing to send now. */
+/* Takes the next order to be sent; clear it with mt_order_clear. Returns false if there is none
+ * now. */
 bool mt_scheduler_next_order (struct mt_scheduler *sched, int64_t now, struct mt_order *order);
-/* As mt_scheduler_next_order, for holds only; these change nothing but lease ends. */
+/* Like mt_scheduler_next_order, for holds only, which start and stop nothing. */
 bool mt_scheduler_next_hold (struct mt_scheduler *sched, int64_t now, struct mt_order *order);
-/* Sets the delay of outgoing messages in the owner's link. To be called before orders are taken. */
+/* Sets the delay of outgoing messages in the owner's link; to be called before orders are taken. */
 void mt_scheduler_set_link_delay (struct mt_scheduler *sched, int64_t delay_ms, int64_t now);
+/* Frees what the order owns. */
 void mt_order_clear (struct mt_order *order);
 
 enum mt_answer
 {
   MT_ANSWER_OK,
-  MT_ANSWER_FENCED, /* the worker has seen a higher token: this scheduler is no longer the leader */
-  MT_ANSWER_STALE_RUN,     /* the run number is not higher than that of a run ended there */
+  MT_ANSWER_FENCED,        /* the worker has seen a higher token: this leader has been replaced */
+  MT_ANSWER_STALE_RUN,     /* the run number is not above that of a run that ended there */
   MT_ANSWER_LEASE_EXPIRED, /* the lease had expired on arrival */
   MT_ANSWER_NO_RESOURCES,
   MT_ANSWER_NO_TICKET,
-  MT_ANSWER_UNHEALTHY,         /* refused without effect */
+  MT_ANSWER_UNHEALTHY,         /* the worker is unhealthy; the order had no effect */
   MT_ANSWER_OTHER_INCARNATION, /* another worker or incarnation answers at the address: the
                                   addressed one has ended */
   MT_ANSWER_MALFORMED,         /* the worker can't parse the order */
   MT_ANSWER_NONE,              /* no answer: the order may have been carried out, or may still be */
 };
 
+/* A run in a worker's listing. */
 struct mt_run_row
 {
   const char *task;
@@ -266,32 +288,36 @@
   MT_END_GANG_INCOMPLETE, /* the other members of the gang did not start */
 };
 
+/* The end of a run, as its worker reports it until a hold's acked_end covers it. */
 struct mt_end_row
 {
-  int64_t sequence;
+  int64_t sequence; /* grows with each end on the worker */
   const char *task;
   unsigned run;
   enum mt_end_kind kind;
   const char *checkpoint;
 };
 
+/* A worker's answer to a hold. */
 struct mt_hold_report
 {
   enum mt_answer answer;
-  int64_t clock_ms;      /* the worker's clock; -1: not reported */
-  int64_t started_at_ms; /* 0: not reported */
+  int64_t clock_ms;      /* reading of the worker's clock in ms; -1: not reported */
+  int64_t started_at_ms; /* as in struct mt_worker_entry; 0: not reported */
   const struct mt_run_row *running;
   size_t n_running;
   const struct mt_end_row *ended;
   size_t n_ended;
 };
 
+/* Handles the answer to a hold that was sent at `sent`. The report may be freed afterwards. */
 void mt_scheduler_hold_answered (struct mt_scheduler *sched,
                                  const char *worker,
                                  const struct mt_hold_report *report,
                                  int64_t sent,
                                  int64_t now);
-/* For MT_ORDER_START, MT_ORDER_STOP and MT_ORDER_PACE. */
+/* Handles the answer to an MT_ORDER_START, MT_ORDER_STOP or MT_ORDER_PACE. name, run: task and run
+ * of the order. clock_ms: as in struct mt_hold_report. */
 void mt_scheduler_order_answered (struct mt_scheduler *sched,
                                   enum mt_order_kind kind,
                                   const char *worker,
@@ -300,37 +326,42 @@
                                   enum mt_answer answer,
                                   int64_t clock_ms,
                                   int64_t now);
-/* A worker has answered that it has seen a higher token than ours. */
+/* Returns whether a worker has answered that it has seen a higher token. The owner then has to give
+ * up the leadership; no more orders are returned. */
 bool mt_scheduler_is_fenced (const struct mt_scheduler *sched);
 
 /* ---- durability ---- */
 
 /* Begins a cycle: places waiting tasks and collects changed jobs. Returns the ids of the jobs to
- * store (caller frees with g_ptr_array_unref), or NULL if nothing has changed. No other cycle
- * begins until mt_scheduler_cycle_done, which releases the orders that depend on the changes. */
+ * store, to be freed with g_ptr_array_unref; NULL if nothing has changed or a cycle is running. No
+ * other cycle begins before mt_scheduler_cycle_done, which is to be called once the jobs are
+ * stored: it releases the orders that depend on the changes. */
 GPtrArray *mt_scheduler_cycle_begin (struct mt_scheduler *sched, int64_t now, int64_t wall);
 void mt_scheduler_cycle_done (struct mt_scheduler *sched, int64_t now);
-/* Whether a cycle would have anything to do. */
+/* Returns whether a cycle would have anything to do now. */
 bool mt_scheduler_needs_cycle (struct mt_scheduler *sched, int64_t now);
-/* The job's progress as text to be stored; NULL if the job isn't known. */
+/* Returns the job's progress as text to be stored; free it with g_free. NULL if the job isn't
+ * known. */
 char *mt_scheduler_job_record (const struct mt_scheduler *sched, const char *id);
+/* The revision that the job's record has in the store, which the owner sets after each write; 0
+ * before the first write, or if the job isn't known. */
 int64_t mt_scheduler_job_revision (const struct mt_scheduler *sched, const char *id);
 void mt_scheduler_set_job_revision (struct mt_scheduler *sched, const char *id, int64_t revision);
-/* A job whose records may be removed; NULL if none. It stays known until
- * mt_scheduler_remove_job. */
+/* Returns the id of an ended job whose records may be removed from the store; NULL if there is
+ * none. The job stays known until mt_scheduler_remove_job, to be called after the removal. */
 const char *mt_scheduler_expired_job (const struct mt_scheduler *sched, int64_t now);
 void mt_scheduler_remove_job (struct mt_scheduler *sched, const char *id);
 
 /* ---- state for other decisions ---- */
 
+/* State of a worker. An id from mt_scheduler_workers is valid until the scheduler is destroyed. */
 struct mt_worker_view
 {
   const char *id;
   unsigned tasks;
   unsigned long_running;
-  unsigned drain_rounds; /* rounds in which its long-running tasks can be moved off, one after the
-                            other */
-  int64_t batch_remaining_ms; /* until the last of its other tasks is expected to have ended */
+  unsigned drain_rounds;      /* consecutive rounds needed to move its long-running tasks off */
+  int64_t batch_remaining_ms; /* expected time until the last of its other tasks has ended */
   bool cordoned;
   bool leaving;
   bool silent;
@@ -338,44 +369,50 @@
   struct mt_resources used;
 };
 
-/* In no particular order. Returns the number written. */
+/* Fills out with up to max workers, in no particular order, and returns their number. */
 size_t mt_scheduler_workers (const struct mt_scheduler *sched,
                              int64_t now,
                              struct mt_worker_view *out,
                              size_t max);
 
+/* Load of a pool. Processors are counted in thousandths of a core. */
 struct mt_scheduler_load
 {
-  unsigned jobs;    /* that have not ended */
-  unsigned waiting; /* tasks that could start now but lack resources */
-  unsigned urgent;  /* ... of these, long-running, or of jobs that can still meet their objective */
-  unsigned running;
-  int64_t demand_cpu;   /* processors to run long-running tasks and to keep those jobs within their
-                           objective */
-  int64_t arriving_cpu; /* processors that jobs will keep busy if they go on arriving as recently */
+  unsigned jobs;      /* jobs that have not ended */
+  unsigned waiting;   /* tasks that could start now but lack resources */
+  unsigned urgent;    /* ... of these, long-running ones and those of jobs that can still meet their
+                         objective */
+  unsigned running;   /* tasks assigned to a worker */
+  int64_t demand_cpu; /* processors for long-running tasks, and to keep jobs within their objective
+                         that can still meet it */
+  int64_t arriving_cpu; /* processors that arriving jobs keep busy at the recent rate of arrival */
   int64_t capacity_cpu; /* processors of workers that accept work */
   int64_t long_running_cpu; /* ... used by long-running tasks */
-  int64_t used_cpu;
-  int64_t urgent_used_cpu; /* ... used by long-running tasks and by jobs whose objective has not
-                              passed */
-  int64_t upcoming_cpu; /* processors that jobs whose objective has not passed will soon keep busy,
-                           without new jobs */
-  int64_t overdue_cpu;  /* processors to complete the work past its objective within some seconds */
-  unsigned unplaceable; /* long-running tasks that no worker accepting work can run: waiting, or on
-                           a worker to be drained */
+  int64_t used_cpu;         /* ... in use */
+  int64_t urgent_used_cpu;  /* ... used by long-running tasks and by jobs whose objective has not
+                               passed */
+  int64_t upcoming_cpu;     /* processors busy in about a second, without new jobs and without jobs
+                               whose     objective has passed */
+  int64_t overdue_cpu;  /* processors to complete within some seconds the work of jobs that can't
+                           meet  their objective */
+  unsigned unplaceable; /* long-running tasks, waiting or on a worker to be drained, that no worker
+                           accepting work can run */
   unsigned workers;
-  unsigned silent;
+  unsigned silent; /* workers that don't answer */
 };
 
-/* All jobs have ended. */
+/* Returns whether all jobs have ended. */
 bool mt_scheduler_is_idle (const struct mt_scheduler *sched);
+/* Fills load with the present load of the pool. */
 void
 mt_scheduler_load (const struct mt_scheduler *sched, int64_t now, struct mt_scheduler_load *load);
 
 /* ---- events for the log ---- */
 
-/* name: event name; detail: "key=value ..." */
+/* name: event name; detail: "key=value ...". Both are valid only during the call. */
 typedef void (*mt_scheduler_event_callback) (void *ctx, const char *name, const char *detail);
+/* Sets the function that is called for each event, from within the scheduler's functions; NULL for
+ * none. */
 void mt_scheduler_set_event_callback (struct mt_scheduler *sched,
                                       mt_scheduler_event_callback callback,
                                       void *ctx);
--- a/include/medlartrack/settings.h
+++ b/include/medlartrack/settings.h
@@ -1,5 +1,5 @@
 /* A daemon's settings, read once at start from a JSON file. Invalid settings are rejected as a
- * whole. */
+ * whole. Immutable once parsed; any thread may read them. */
 #ifndef MEDLARTRACK_SETTINGS_H
 #define MEDLARTRACK_SETTINGS_H
 
@@ -31,7 +31,8 @@
   struct mt_settings_limits limits;
 };
 
-/* Returns NULL with an error that names the key, the value found, the range and the remedy. */
+/* Returns the settings; free them with mt_settings_destroy. NULL with an error that names the key,
+ * the value found, the range and the remedy. */
 struct mt_settings *mt_settings_parse (struct mt_str json, GError **error);
 void mt_settings_destroy (struct mt_settings *settings);
 
--- a/include/medlartrack/share.h
+++ b/include/medlartrack/share.h
@@ -1,5 +1,5 @@
 /* Divides a minion's slots among the daemons of one data centre, without a coordinator. Pure
- * functions. */
+ * functions; any thread. */
 #ifndef MEDLARTRACK_SHARE_H
 #define MEDLARTRACK_SHARE_H
 
@@ -13,14 +13,14 @@
   unsigned rank;
 };
 
-/* The number of slots that this daemon owns. Daemons that agree on the membership never own more
- * than `slots` together, as long as there are no more daemons than slots; each owns at least one.
- * key identifies the minion, so that the remainder slots of different minions go to different
+/* Returns the number of slots that this daemon owns. Daemons that agree on the membership never own
+ * more than `slots` together, as long as there are no more daemons than slots; each owns at least
+ * one. key identifies the minion, so that the remainder slots of different minions go to different
  * daemons. */
 unsigned mt_share_own (struct mt_share share, unsigned slots, uint64_t key);
 
-/* The daemon's own slots plus half of the slots that the other daemons own and do not use. others:
- * requests that the other daemons have in flight. */
+/* Returns the daemon's own slots plus half of the slots that the other daemons own and do not use.
+ * others: number of requests that the other daemons have in flight. */
 unsigned
 mt_share_with_borrowed (struct mt_share share, unsigned slots, uint64_t key, unsigned others);
 
--- a/include/medlartrack/store.h
+++ b/include/medlartrack/store.h
@@ -1,5 +1,5 @@
 /* Interface to the platform's key-value service, as a table of callbacks. The daemon uses
- * net/platform.c, tests use a fake. Calls block; any thread may call. */
+ * net/platform.c, tests use a fake. Calls block. Any thread. */
 #ifndef MEDLARTRACK_STORE_H
 #define MEDLARTRACK_STORE_H
 
@@ -15,7 +15,7 @@
   bool unchanged; /* of a watch: not changed since the given index; the data may be missing */
   char *data;     /* NUL-terminated; freed by mt_store_value_clear */
   size_t len;
-  uint64_t index; /* changes with every write of the key; condition of the next write */
+  uint64_t index; /* changes with every write of the key; the next write is conditional on it */
   char *key;      /* set by list only */
 };
 
@@ -31,10 +31,10 @@
 {
   const char *name;
   const char *description;
-  /* Returns false with MT_ERROR_UNAVAILABLE if the service does not answer. For a missing key,
-   * returns true with found unset. */
+  /* Reads a key; clear out with mt_store_value_clear. For a missing key, returns true with found
+   * unset. Returns false with MT_ERROR_UNAVAILABLE if the service does not answer. */
   bool (*get) (void *ctx, const char *key, struct mt_store_value *out, GError **error);
-  /* Watches a key. Returns at once with index 0; otherwise when the key's index differs from the
+  /* Watches a key. With index 0 returns at once; otherwise when the key's index differs from the
    * given one, or after wait_us with unchanged set. Counts as one call at the platform, plus a read
    * if something changed. */
   bool (*watch) (void *ctx,
@@ -46,18 +46,19 @@
   /* Reads all values under a prefix into a GPtrArray of struct mt_store_value, which frees its
    * elements. */
   bool (*list) (void *ctx, const char *prefix, GPtrArray **out, GError **error);
-  /* Writes by compare-and-swap on the index; index 0: only if the key does not exist. */
+  /* Writes a key if its index is the given one; index 0: if it does not exist. */
   enum mt_store_write_result (*put) (
       void *ctx, const char *key, struct mt_str value, uint64_t index, GError **error);
   /* Removes all keys under a prefix. */
   enum mt_store_write_result (*remove) (void *ctx, const char *prefix, GError **error);
-  /* Creates a lease that expires ttl_s after its last renewal; free its id with g_free. */
+  /* Creates a lease that expires ttl_s after its last renewal and sets *id; free it with g_free. */
   bool (*lease_grant) (void *ctx, unsigned ttl_s, char **id, GError **error);
-  /* Returns false with MT_ERROR_STALE if the lease has expired. */
+  /* Renews a lease. Returns false with MT_ERROR_STALE if it has expired. */
   bool (*lease_renew) (void *ctx, const char *id, GError **error);
+  /* Ends a lease before it expires. */
   void (*lease_end) (void *ctx, const char *id);
-  /* Writes the key and holds it under the lease; MT_STORE_CONFLICT while another lease holds it.
-   * When the lease expires, the key is free again and keeps its value. */
+  /* Writes the key and holds it under the lease; returns MT_STORE_CONFLICT while another lease
+   * holds it. When the lease expires, the key is free again and keeps its value. */
   enum mt_store_write_result (*acquire) (
       void *ctx, const char *key, struct mt_str value, const char *lease, GError **error);
 };
@@ -68,6 +69,7 @@
   void *ctx;
 };
 
+/* Frees what the value owns and zeroes it. */
 void mt_store_value_clear (struct mt_store_value *value);
 /* Free function for a GPtrArray of heap-allocated values. */
 void mt_store_value_free (gpointer value);
--- a/include/medlartrack/tables.h
+++ b/include/medlartrack/tables.h
@@ -40,7 +40,7 @@
   struct mt_str rack;
   unsigned slots;
   unsigned connections;
-  bool leaving; /* the operator is taking the instance out of the pool */
+  bool leaving; /* the operator takes the instance out of the pool */
 };
 
 struct mt_wave
@@ -65,7 +65,7 @@
   struct mt_str kind; /* resource usage is learned per kind; empty: the pool's name */
   struct mt_str team;
   struct mt_str zone; /* data centre whose workers run the job */
-  unsigned cpu_milli; /* declared resources; the next two fields as well */
+  unsigned cpu_milli; /* declared resources, with the next two fields */
   unsigned memory_mb;
   unsigned accelerators;
   int urgency; /* enum mt_urgency */
@@ -103,8 +103,8 @@
   struct mt_str changes; /* JSON: changes of the last edits, row by row; empty for none */
 };
 
-/* Parses and checks the whole document. Returns NULL with MT_ERROR_SYNTAX, MT_ERROR_LIMIT, or
- * MT_ERROR_TABLES; the last one names table, row, column, value, limit and remedy. */
+/* Parses and checks the whole document. Returns NULL with MT_ERROR_SYNTAX, MT_ERROR_LIMIT or
+ * MT_ERROR_TABLES; messages of the last one name table, row, column, value, limit and remedy. */
 struct mt_tables *mt_tables_parse (struct mt_str json, GError **error);
 void mt_tables_destroy (struct mt_tables *tables);
 
@@ -124,9 +124,9 @@
 /* Returns warnings for the operator about values that are allowed but questionable: an array of
  * strings, freed with g_ptr_array_unref. */
 GPtrArray *mt_tables_warnings (const struct mt_tables *tables);
-/* Checks a change against the accepted tables (NULL for none): fails with MT_ERROR_TABLES if a pool
- * that a route needs would lose its last instance in a data centre that is not listed in may_empty
- * (NULL-terminated; may be NULL). */
+/* Checks a change against the accepted tables (NULL for none). Returns false with MT_ERROR_TABLES
+ * if a pool that a route needs would lose its last instance in a data centre that is not listed in
+ * may_empty (NULL-terminated; may be NULL). */
 bool mt_tables_check_change (const struct mt_tables *accepted,
                              const struct mt_tables *wanted,
                              const char *const *may_empty,
@@ -134,16 +134,18 @@
 /* Returns the differences by row and column as a JSON array; free it with g_free. Either argument
  * may be NULL. */
 char *mt_tables_diff (const struct mt_tables *before, const struct mt_tables *after);
-/* Whether the rows are equal, ignoring their order, version and id. */
+/* Returns whether the tables have equal rows, ignoring the order of the rows, version and id. */
 bool mt_tables_same_rows (const struct mt_tables *a, const struct mt_tables *b);
 /* Returns the edits after the given version as a JSON array, or NULL if the change log doesn't go
  * back that far; free it with g_free. */
 char *mt_tables_changes_since (const struct mt_tables *accepted, uint64_t version);
-/* Whether the accepted tables were written with this id, or have that write in their change log. */
+/* Returns whether the accepted tables were written with this id, or have that write in their change
+ * log. */
 bool mt_tables_descends_from (const struct mt_tables *accepted, const char *id);
 
+/* Returns the pool of that name; NULL if there is none. */
 const struct mt_pool *mt_tables_find_pool (const struct mt_tables *tables, struct mt_str name);
-/* Returns the route for a request, or NULL. */
+/* Returns the route for a request; NULL if there is none. */
 const struct mt_route *
 mt_tables_match_route (const struct mt_tables *tables, struct mt_str method, struct mt_str path);
 
--- a/include/medlartrack/workspaces.h
+++ b/include/medlartrack/workspaces.h
@@ -1,6 +1,6 @@
 /* Workspaces: which API keys belong to which caller, and how much may run for the caller at a time.
  * Keys are stored and compared as SHA-256 digests, so no state dump, log or core file of a daemon
- * contains one. A list is filled by one thread and may then be read by any. */
+ * contains one. A list is filled by one thread; then any thread may read it. */
 #ifndef MEDLARTRACK_WORKSPACES_H
 #define MEDLARTRACK_WORKSPACES_H
 
@@ -23,11 +23,12 @@
 
 struct mt_workspaces;
 
+/* Returns an empty list; free it with mt_workspaces_destroy. */
 struct mt_workspaces *mt_workspaces_create (void);
 void mt_workspaces_destroy (struct mt_workspaces *list);
 
-/* Returns false with an error that names the workspace and the remedy if the name is missing,
- * invalid, too long or already used, or if a limit is negative. */
+/* Adds a workspace. Returns false with an error that names the workspace and the remedy if the name
+ * is missing, invalid, too long or already used, or if a limit is negative. */
 bool mt_workspaces_add (struct mt_workspaces *list,
                         const char *name,
                         const struct mt_resources *quota,
@@ -37,9 +38,10 @@
  * or belongs to another workspace; the error never contains the key. */
 bool mt_workspaces_add_key (struct mt_workspaces *list, const char *key, GError **error);
 
+/* Number of workspaces, and access by index from 0. */
 unsigned mt_workspaces_count (const struct mt_workspaces *list);
 const struct mt_workspace *mt_workspaces_at (const struct mt_workspaces *list, unsigned index);
-/* Returns NULL for a key that belongs to no workspace. */
+/* Returns the workspace of an API key; NULL if the key belongs to none. */
 const struct mt_workspace *mt_workspaces_by_key (const struct mt_workspaces *list, const char *key);
 
 #endif
