--- a/core/config/tables_budget.c
+++ b/core/config/tables_budget.c
@@ -143,7 +143,7 @@
                               "let fewer leave in one edit, or raise max_unavailable");
       if (count->staying < pool->min_instances)
         return refuse_number (error, pool, "min_instances", pool->min_instances, zone,
-                              count->staying, "instances that stay",
+                              count->staying, "instances that are not leaving",
                               "keep more of them, or lower min_instances");
     }
   return true;
--- a/core/config/tables_change.c
+++ b/core/config/tables_change.c
@@ -188,8 +188,9 @@
   return same;
 }
 
+/* Returns the change log of the tables; empty if there is none or it can't be parsed. */
 static json_t *
-load_log (const struct mt_tables *tables)
+parse_change_log (const struct mt_tables *tables)
 {
   json_t *log = NULL;
 
@@ -199,10 +200,10 @@
 }
 
 static json_t *
-log_entry (const struct mt_tables *before,
-           const struct mt_tables *after,
-           uint64_t version,
-           const char *id)
+new_log_entry (const struct mt_tables *before,
+               const struct mt_tables *after,
+               uint64_t version,
+               const char *id)
 {
   json_t *rows = compare (before, after);
   json_t *entry = json_pack ("{sI ss sI}", "version", (json_int_t) version, "id", id, "count",
@@ -229,9 +230,9 @@
                        const char *id)
 {
   json_t *root = mt_tables_to_json (wanted, version, id);
-  json_t *log = load_log (accepted);
+  json_t *log = parse_change_log (accepted);
 
-  json_array_append_new (log, log_entry (accepted, wanted, version, id));
+  json_array_append_new (log, new_log_entry (accepted, wanted, version, id));
   json_object_set_new (root, "changes", log);
   while (json_array_size (log) > 0 && !fits_limits (root, log))
     json_array_remove (log, 0);
@@ -241,7 +242,7 @@
 char *
 mt_tables_changes_since (const struct mt_tables *accepted, uint64_t version)
 {
-  json_t *log = load_log (accepted);
+  json_t *log = parse_change_log (accepted);
   json_t *out = json_array ();
   uint64_t expected = version + 1;
   json_t *entry;
@@ -267,7 +268,7 @@
 bool
 mt_tables_descends_from (const struct mt_tables *accepted, const char *id)
 {
-  json_t *log = load_log (accepted);
+  json_t *log = parse_change_log (accepted);
   bool found = strcmp (accepted->id.data, id) == 0;
   json_t *entry;
   size_t i;
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -154,7 +154,7 @@
     mt_planner_report (plan,
                        "wave %s of pool %s waits with %u instances to go: the budget is spent by "
                        "instances that are out; raise max_unavailable, lower min_instances, or "
-                       "write \"leaving\": true in the rows of those that are lost",
+                       "write \"leaving\": true in the rows of lost instances",
                        pool->wave.id.data, pool->name.data, wave.waiting);
 }
 
--- a/core/jobs/internal.h
+++ b/core/jobs/internal.h
@@ -44,10 +44,10 @@
   bool confirmed; /* the worker reported this epoch, or the wait for a report timed out */
   int64_t started_us;
   int64_t requested_us;          /* last request to stop, checkpoint or fence; 0: not sent yet */
-  struct mt_job_resources used;  /* as last reported */
-  uint64_t lease;                /* the worker's lease at the start */
-  GPtrArray *failed_on;          /* distinct workers, struct mt_worker */
-  unsigned failed_before_replay; /* further workers that it failed on under earlier planners */
+  struct mt_job_resources used;  /* usage as last reported */
+  uint64_t lease;                /* the worker's lease when the task was started */
+  GPtrArray *failed_on;          /* distinct workers that it failed on, struct mt_worker */
+  unsigned failed_before_replay; /* number of other such workers under earlier planners */
   bool suspect;                  /* may have crashed the worker that ran it last */
   char *reason;
   uint64_t checked_generation; /* mt_jobs.generation of the last check whether any worker fits */
--- a/core/once/held.c
+++ b/core/once/held.c
@@ -178,7 +178,7 @@
 }
 
 bool
-mt_claim_table_is_released (const struct mt_claim_table *table, const uint64_t attempt[2])
+mt_claim_table_has_released (const struct mt_claim_table *table, const uint64_t attempt[2])
 {
   return g_hash_table_contains (table->released, attempt);
 }
--- a/core/once/held.h
+++ b/core/once/held.h
@@ -34,9 +34,9 @@
 /* Returns NULL if the key is free. */
 const struct mt_claim_entry *mt_claim_table_find (const struct mt_claim_table *table,
                                                   const uint64_t key[2]);
-/* Whether the attempt was released before its claim was seen. A claim that is still pending must
- * not be written after its release: it would block the key with no holder. */
-bool mt_claim_table_is_released (const struct mt_claim_table *table, const uint64_t attempt[2]);
+/* Returns whether the attempt was released before its claim was seen. A claim that is still pending
+ * must not be written after its release: it would block the key with no holder. */
+bool mt_claim_table_has_released (const struct mt_claim_table *table, const uint64_t attempt[2]);
 unsigned mt_claim_table_count (const struct mt_claim_table *table);
 
 /* For hash tables keyed by a 128-bit id. */
--- a/core/once/once.c
+++ b/core/once/once.c
@@ -78,8 +78,10 @@
   return mt_once_take_token (once, wake_us) && mt_once_start_call (once, call, MT_ONCE_CALL_WRITE);
 }
 
+/* Returns whether recorded ends have to be written now, without waiting for a claim to be written
+ * with them; else lowers *wake_us to that time. */
 static bool
-is_ends_write_due (struct mt_once *once, int64_t *wake_us)
+must_write_ends (struct mt_once *once, int64_t *wake_us)
 {
   int64_t due = once->ends_since_us + MAX_END_DELAY_US;
 
@@ -97,7 +99,7 @@
   struct in_flight in_flight = { 0 };
 
   mt_once_plan_batch (once, &in_flight);
-  if ((in_flight.requests->len > 0 || is_ends_write_due (once, wake_us))
+  if ((in_flight.requests->len > 0 || must_write_ends (once, wake_us))
       && mt_once_take_token (once, wake_us))
     {
       mt_once_start_write (once, &in_flight);
@@ -120,7 +122,7 @@
     }
   if (once->in_flight.active)
     return next_call_in_flight (once, call, wake_us);
-  if (g_queue_is_empty (&once->requests) && !is_ends_write_due (once, wake_us))
+  if (g_queue_is_empty (&once->requests) && !must_write_ends (once, wake_us))
     return mt_once_next_trim (once, call, wake_us);
   if (!once->loaded)
     return mt_once_start_call (once, call, MT_ONCE_CALL_LIST);
--- a/core/once/once_flight.c
+++ b/core/once/once_flight.c
@@ -158,7 +158,7 @@
   const struct mt_claim_entry *claim = mt_claim_table_find (once->claims, request->key);
   const struct mt_record *record = find_in_batch (records_by_key, request->key);
 
-  if (mt_claim_table_is_released (once->claims, request->attempt)
+  if (mt_claim_table_has_released (once->claims, request->attempt)
       || (request->claim_deadline_us != 0
           && request->claim_deadline_us < mt_clock_now (once->options.clock)))
     return VERDICT_EXPIRED;
