--- a/core/controller/controller_internal.h
+++ b/core/controller/controller_internal.h
@@ -26,10 +26,9 @@
   int64_t short_since;  /* since when it has had fewer machines than mean_need; 0: it has enough */
   unsigned n_claimed;   /* of n_allocated, those for which other pools give up machines */
   struct mt_controller_recent_max mean_need; /* keeps its jobs within their objectives on average */
-  struct mt_controller_recent_max
-      burst_need;       /* mean_need with a margin, since machines arrive late */
-  unsigned n_home;      /* machines whose home pool it is */
-  unsigned n_sized;     /* machines of the pool whose size is known */
+  struct mt_controller_recent_max burst_need; /* with a margin, since machines arrive late */
+  unsigned n_home;                            /* machines whose home pool it is */
+  unsigned n_sized;                           /* machines of the pool whose size is known */
   int64_t capacity_cpu; /* of the n_sized machines, in thousandths of a core */
   double peak_machines; /* highest recent need in machines, decaying */
   int64_t peak_at;
@@ -103,8 +102,7 @@
 /* Updates the pool's need from its scheduler's last report. starved: whether any pool is
  * starved. */
 void mt_controller_update_need (struct mt_controller_pool *p, bool starved, int64_t now);
-/* Returns whether any pool is starved: it has for some time had fewer machines than its mean need.
- */
+/* Returns whether any pool is starved: for some time it has had fewer machines than mean_need. */
 bool mt_controller_update_starved (struct mt_controller *ctl, int64_t now);
 /* Sets n_allocated and n_claimed of each pool. machines: the number of machines of all pools. */
 void mt_controller_allocate (struct mt_controller *ctl, unsigned machines);
--- a/core/controller/controller_moves.c
+++ b/core/controller/controller_moves.c
@@ -156,8 +156,7 @@
   return NULL;
 }
 
-/* Returns the pool with the largest surplus of which a machine can be moved; NULL if there is none.
- */
+/* Returns the pool with the largest surplus of which a machine can be moved; NULL if none. */
 static struct mt_controller_pool *
 find_largest_surplus (const struct mt_controller *ctl)
 {
--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -57,8 +57,7 @@
 }
 
 /* Returns the need with a margin, in thousandths of a core. The margin is limited if no work waits
- * that can still meet its objective: it would keep machines idle that the next pool to surge lacks.
- */
+ * that can still meet its objective: it would keep machines idle that the next surge lacks. */
 static double
 burst_cpu (const struct mt_scheduler_load *load, bool starved)
 {
--- a/core/controller/grants.c
+++ b/core/controller/grants.c
@@ -215,8 +215,8 @@
              : amount (view, &share->used) + amount (view, &share->waiting);
 }
 
-/* Returns the pool's share if the quota covers all demand: its demand and an even part of the rest.
- */
+/* Returns the pool's share if the quota covers all demand: its demand and an even part of the rest
+ * of the quota. */
 static int64_t
 surplus_share (const struct quota_view *view, unsigned pool, int64_t total_demand)
 {
--- a/core/scheduler/scheduler_internal.h
+++ b/core/scheduler/scheduler_internal.h
@@ -42,13 +42,14 @@
   bool suspect;                 /* its last run may have crashed its worker */
   bool isolated; /* suspect whose run has not settled; no other job's task starts on its worker */
   uint32_t run;
-  uint32_t listing;    /* number of the worker's listing that last contained the run */
-  int64_t state_since; /* when the task entered its state */
-  int64_t begun_at;    /* when the run was first known to have begun; 0: not yet */
-  int64_t settle_ms;   /* observed run time after which the run has settled, if above SETTLED_MS */
-  int64_t acked_at;    /* when the worker last acknowledged an order for this run; 0: never */
-  int64_t progress_at; /* when percent last changed */
-  int64_t not_before;  /* the task is not placed before this time */
+  uint32_t listing; /* number of the worker's listing that last contained the run */
+  int64_t
+      state_since;   /* when the task entered its state, or its order was last answered or resent */
+  int64_t begun_at;  /* when the run was first known to have begun; 0: not yet */
+  int64_t settle_ms; /* observed run time after which the run has settled, if above SETTLED_MS */
+  int64_t acked_at;  /* when the worker last acknowledged an order for this run; 0: never */
+  int64_t progress_at;         /* when percent last changed */
+  int64_t not_before;          /* the task is not placed before this time */
   int64_t predecessor_stop_by; /* time by which the previous leader's stops have taken effect */
   int64_t unavailable_since;   /* of a long-running task: start of its unavailability; 0: at work */
   int64_t gauge;               /* as last reported; see struct mt_run_row */
@@ -235,16 +236,13 @@
   int64_t link_delay_ms; /* delay of outgoing messages in the owner's link */
   int64_t link_late_at;  /* when link_delay_ms was last too long for timely answers; 0: never */
   int64_t link_full_at;  /* when starts last waited for a full link; 0: never */
-  int64_t order_lost_at; /* when a worker that answers other orders last left one unanswered; 0:
-                            never */
-  int64_t
-      expected_cpu; /* announced capacity in thousandths of a core; valid until expected_until */
+  int64_t order_lost_at; /* when an order to a worker that answers others was last lost; 0: never */
+  int64_t expected_cpu;  /* announced, in thousandths of a core; valid until expected_until */
   int64_t expected_until;
   int64_t estimated_at; /* when timely_work, total_work and batch_cpu were calculated */
   double timely_work;   /* work of jobs that can meet their objective; thousandths of a core * ms */
   double total_work;    /* work of all jobs; thousandths of a core * ms */
-  double
-      batch_cpu; /* processors for all but long-running tasks; thousandths of a core; 0: unknown */
+  double batch_cpu;     /* for all but long-running tasks; thousandths of a core; 0: unknown */
   mt_scheduler_event_callback on_event;
   void *event_ctx;
 };
--- a/core/scheduler/scheduler_place.c
+++ b/core/scheduler/scheduler_place.c
@@ -256,8 +256,7 @@
   int64_t now;
   GPtrArray *workers;
   double mean_slowness;
-  struct mt_resources
-      unplaceable; /* need that no worker could meet; equal or larger needs are skipped */
+  struct mt_resources unplaceable; /* need that no worker met; equal or larger ones are skipped */
   bool has_unplaceable;
   unsigned placed;
   unsigned max_placed; /* limit on placed */
@@ -331,8 +330,7 @@
   return cost + long_running_cost (placement, w, step);
 }
 
-/* Returns whether the task has one attempt left and still waits for a worker proved to be healthy.
- */
+/* Returns whether the task has one attempt left and still waits for a worker proved healthy. */
 static bool
 is_last_attempt (const struct placement *placement, const struct mt_task *task)
 {
@@ -401,8 +399,7 @@
 }
 
 /* Returns whether a need no larger than the step's has found no worker in this placing. In a surge
- * this rejects thousands of waiting tasks by a few comparisons each, without trying every worker.
- */
+ * this rejects thousands of waiting tasks by a few comparisons each, not trying every worker. */
 static bool
 is_unplaceable (const struct placement *placement, const struct mt_step *step)
 {
--- a/core/scheduler/scheduler_watch.c
+++ b/core/scheduler/scheduler_watch.c
@@ -1,5 +1,4 @@
-/* Checks for stalled tasks, stops without an answer and lost workers; moves off draining workers.
- */
+/* Checks for stalled tasks, unanswered stops and lost workers; moves off draining workers. */
 #include "scheduler_internal.h"
 
 #define CHECK_INTERVAL_MS 50 /* interval of the checks of all workers */
--- a/core/scheduler/scheduler_workers.c
+++ b/core/scheduler/scheduler_workers.c
@@ -35,8 +35,7 @@
   return false;
 }
 
-/* Resets the worker for a new incarnation: the runs, ends and clock of the previous one are gone.
- */
+/* Resets the worker for a new incarnation: runs, ends and clock of the previous one are gone. */
 static void
 begin_incarnation (struct mt_scheduler *sched, struct mt_worker *w, int64_t started_at, int64_t now)
 {
--- a/fleet/fleet_leader.c
+++ b/fleet/fleet_leader.c
@@ -16,8 +16,7 @@
 /* Interval at which pools are queried, and so the longest delay until a surge is noticed. */
 #define TICK_MS 150
 /* Interval of queries while a pool is short of machines or a machine is to be drained: draining one
- * takes three rounds of query and reply, and callers of the overloaded pool wait for all of them.
- */
+ * takes three rounds of query and reply, and callers of the overloaded pool wait for them. */
 #define TICK_PRESSURE_MS 75
 /* Intervals at which machines are listed: while orders or waves are in progress, and otherwise. */
 #define LIST_MS      500
