--- a/core/controller/controller_shares.c
+++ b/core/controller/controller_shares.c
@@ -162,11 +162,10 @@
 } tiers[] = {
   { "pinned", "machines that can't leave, or one more for long-running tasks that fit on none",
     need_pinned },
-  { "reserve", "reserve for the start of the next surge", need_reserve },
-  { "mean", "keeps jobs within their objectives on average", need_mean },
-  { "burst", "margin, since machines arrive late and jobs arrive in bursts", need_burst },
-  { "overdue", "accepted work that can't meet its objective any more", need_overdue,
-    .overdue = true },
+  { "keep", "reserve for the start of the next surge", need_reserve },
+  { "timely", "keeps jobs within their objectives on average", need_mean },
+  { "hasty", "margin, since machines arrive late and jobs arrive in bursts", need_burst },
+  { "late", "accepted work that can't meet its objective any more", need_overdue, .overdue = true },
 };
 
 static bool
--- a/core/scheduler/scheduler_answers.c
+++ b/core/scheduler/scheduler_answers.c
@@ -426,7 +426,7 @@
       mark_fenced (sched, worker);
       return;
     case MT_ANSWER_OTHER_INCARNATION:
-      mt_scheduler_worker_ended (sched, worker, now, "another worker answers at its address");
+      mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
       return;
     default:
       handle_no_answer (sched, w, now);
@@ -479,9 +479,9 @@
                       int64_t now)
 {
   static const char *const why[] = {
-    [MT_ANSWER_STALE_RUN] = "stale run",       [MT_ANSWER_LEASE_EXPIRED] = "lease expired",
-    [MT_ANSWER_NO_RESOURCES] = "no resources", [MT_ANSWER_NO_TICKET] = "no ticket",
-    [MT_ANSWER_UNHEALTHY] = "unhealthy",       [MT_ANSWER_MALFORMED] = "malformed order",
+    [MT_ANSWER_STALE_RUN] = "old run",    [MT_ANSWER_LEASE_EXPIRED] = "late",
+    [MT_ANSWER_NO_RESOURCES] = "no room", [MT_ANSWER_NO_TICKET] = "no ticket",
+    [MT_ANSWER_UNHEALTHY] = "unhealthy",  [MT_ANSWER_MALFORMED] = "unreadable",
   };
 
   if (answer == MT_ANSWER_NO_RESOURCES || answer == MT_ANSWER_UNHEALTHY
@@ -557,7 +557,7 @@
     }
   if (answer == MT_ANSWER_OTHER_INCARNATION)
     {
-      mt_scheduler_worker_ended (sched, worker, now, "another worker answers at its address");
+      mt_scheduler_worker_ended (sched, worker, now, "another answers at its address");
       return;
     }
   if (answer == MT_ANSWER_NONE)
--- a/core/scheduler/scheduler_watch.c
+++ b/core/scheduler/scheduler_watch.c
@@ -178,7 +178,7 @@
   if ((w->silent_since != 0 || w->address == NULL) && now > w->lease_end
       && !mt_scheduler_is_link_late (sched, now))
     {
-      mt_worker_release_tasks (sched, w, false, now, "lease expired");
+      mt_worker_release_tasks (sched, w, false, now, "lease over");
       return;
     }
   for (GList *l = w->tasks.head; l != NULL; l = next)
--- a/core/scheduler/scheduler_workers.c
+++ b/core/scheduler/scheduler_workers.c
@@ -39,7 +39,7 @@
 static void
 begin_incarnation (struct mt_scheduler *sched, struct mt_worker *w, int64_t started_at, int64_t now)
 {
-  mt_worker_release_tasks (sched, w, true, now, "restarted");
+  mt_worker_release_tasks (sched, w, true, now, "reborn");
   w->started_at = started_at;
   w->listed_since = now;
   w->ended = w->leaving = false;
