--- a/core/config/fields.c
+++ b/core/config/fields.c
@@ -17,8 +17,8 @@
 {
   char *text = found != NULL ? json_dumps (found, JSON_ENCODE_ANY | JSON_COMPACT) : NULL;
   g_autofree char *shown = g_strndup (text != NULL ? text : "nothing", MAX_SHOWN_BYTES);
-  /* Both may have been cut within a UTF-8 character, and jansson, for one, can't print such a
-   * message. */
+  /* The value and the location may have been cut within a UTF-8 character; jansson, for one, can't
+   * print such a message. */
   g_autofree char *valid = g_utf8_make_valid (shown, -1);
   g_autofree char *where = g_utf8_make_valid (location.where, -1);
 
--- a/core/control/capacity.c
+++ b/core/control/capacity.c
@@ -5,15 +5,15 @@
 
 #define MEAN_S                60.0  /* time constant of the moving mean */
 #define PEAK_S                600.0 /* time constant of the peak's decay */
-#define WINDOW_S              30    /* demand that lasts longer than this is not a surge */
-#define SURGE_FACTOR          2.0 /* a surge begins above the mean times this, and ends at the mean */
-#define SURGE_SLOTS           2.0 /* added to that threshold, so that noise is no surge */
-#define MOVE_S                3.0 /* from decision to service, including a heartbeat and two writes */
-#define MIN_SURGES            3 /* surges observed before a pool releases what it holds for them */
+#define WINDOW_S              30    /* longest duration of a surge */
+#define SURGE_FACTOR          2.0   /* a surge begins above mean times this and ends at the mean */
+#define SURGE_SLOTS           2.0   /* added to the threshold, so that noise is no surge */
+#define MOVE_S                3.0   /* duration of a move, including a heartbeat and two writes */
+#define MIN_SURGES            3     /* surges observed before a pool releases instances */
 #define HEADROOM              1.25
-#define BASE_SHARE            0.25 /* share of the peak that is always held if surges are followed */
-#define MAX_REQUESTS_PER_SLOT 32   /* of the pool: a report of more is wrong */
-#define SMOOTHING             0.3  /* weight of a new sample of a surge's length or interval */
+#define BASE_SHARE            0.25 /* share of the peak always held if surges are followed */
+#define MAX_REQUESTS_PER_SLOT 32   /* of the pool; reports of more are wrong */
+#define SMOOTHING             0.3  /* weight of a new sample of a surge's duration or interval */
 #define MIN_HOLD_S            4
 #define MAX_HOLD_S            3600
 #define HOUR_S                3600.0
@@ -74,9 +74,9 @@
         = clamp_to_row (instances_for (pools[i].demand_slots, pools[i].slots), &pools[i]);
 }
 
-/* Whether moving instances in for each surge and out again costs less than keeping them in between:
- * two moves, compared with one instance idle from one surge to the next. A surge that ends before a
- * move could is never followed. */
+/* Returns whether moving instances in for each surge and out again costs less than keeping them in
+ * between: two moves, compared with one instance idle from one surge to the next. A surge that ends
+ * before a move could is never followed. */
 static bool
 follows_surges (const struct mt_capacity_pool *pool)
 {
@@ -103,12 +103,13 @@
     return MAX (pool->home, base);
   if (!pool->stats.surging)
     return base;
-  /* One more than the table's size works off what accumulated until the moves were done. */
+  /* One instance more than the table's size: it serves what accumulated during the moves. */
   return MAX (base, MIN (instances_for (pool->demand_slots, pool->slots), pool->home + 1));
 }
 
-/* The pools surge in turn, so they share one reserve: as large as the largest need of a pool beyond
- * its base, minus what the pool that surged last still has and passes on to the next. */
+/* Returns the size of the reserve, which the pools share as they surge in turn: the largest need of
+ * a pool beyond its base, minus the instances beyond their base that pools still have and will
+ * release. */
 static unsigned
 reserve_instances (const struct mt_capacity_pool *pools, size_t n)
 {
@@ -280,7 +281,7 @@
 {
   for (size_t i = 0; i < n; i++)
     {
-      /* Unlimited, a wrong report would distort the mean for minutes. */
+      /* Without this limit, a wrong report would distort the mean for minutes. */
       double max_demand = (double) (pools[i].home + 1) * pools[i].slots * MAX_REQUESTS_PER_SLOT;
 
       add_sample (get_history (capacity, pools[i].row->name.data), pools[i].demand_slots,
@@ -288,8 +289,9 @@
     }
 }
 
-/* A surplus instance is kept until keeping it has cost as much as the two moves to release it and
- * to fetch it back: at most twice the cost of the best decision in hindsight. */
+/* Returns how long a surplus instance is kept: until keeping it has cost as much as the two moves
+ * to release it and to fetch it back. The cost is then at most twice that of the best decision in
+ * hindsight. */
 static int64_t
 surplus_hold_s (const struct mt_pool *row)
 {
@@ -327,7 +329,8 @@
          || now_s - history->surplus_since_s >= surplus_hold_s (pool->row);
 }
 
-/* The spare pool gives instances down to its minimum, other pools only their surplus. */
+/* Returns whether the pool can give up an instance: the spare pool down to its minimum, other pools
+ * only their surplus. */
 static bool
 is_source (const struct mt_capacity *capacity, const struct mt_capacity_pool *pool)
 {
@@ -342,7 +345,8 @@
 
   for (size_t i = 0; i < n; i++)
     {
-      /* The spare pool gets its instances back later, but at once those that its wave waits for. */
+      /* The spare pool is short only below its minimum, which includes an instance that its wave
+       * waits for. It gets the rest back as the other pools release their surplus. */
       unsigned needed = pools[i].row->spare ? pools[i].min_serving : pools[i].desired_instances;
       unsigned missing = needed > pools[i].serving ? needed - pools[i].serving : 0;
 
@@ -354,8 +358,8 @@
   return best;
 }
 
-/* Surplus instances of other pools go before the spare pool's, so that the reserve need not cover
- * two surges. */
+/* Returns the pool to take an instance from; NULL if there is none. Surplus instances of other
+ * pools are taken before those of the spare pool, so that the reserve need not cover two surges. */
 static const struct mt_capacity_pool *
 find_source (const struct mt_capacity *capacity, const struct mt_capacity_pool *pools, size_t n)
 {
--- a/core/control/lease.c
+++ b/core/control/lease.c
@@ -67,9 +67,9 @@
   return false;
 }
 
-/* Whether an attempt to acquire may succeed. Without this read, each attempt of a standby would
- * cost the platform two writes, which with 42 daemons is two thirds of the writes that the whole
- * fleet may do; a read costs it little. A key with this holder's name and lease comes from an
+/* Returns whether an attempt to acquire may succeed. Without this read, each attempt of a standby
+ * would cost the platform two writes, which with 42 daemons is two thirds of the writes that the
+ * whole fleet may do; a read costs it little. A key with this holder's name and lease comes from an
  * acquire whose answer was lost. */
 static bool
 may_acquire (struct mt_lease *lease)
--- a/core/control/moves.c
+++ b/core/control/moves.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Drains that one step may begin; the budgets limit them further. */
+/* Most drains that one step begins; the budgets limit them further. */
 #define MOVES_PER_STEP 4
 
 static double
@@ -36,8 +36,8 @@
   return count;
 }
 
-/* Whether a wave waits for an instance of the pool. A pool at its minimum could otherwise never
- * release one to it. */
+/* Returns whether a wave waits for an instance of the pool. A pool at its minimum could otherwise
+ * never release one to it. */
 static bool
 wave_waits (const struct mt_plan *plan, const char *pool)
 {
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -142,10 +142,10 @@
   return count;
 }
 
-/* Whether one more instance of the pool may be drained by plan. This is counted in the document
- * that the step writes, so that drains that other waves or moves began in the same step count as
- * well. The compare-and-swap on that document keeps competing planners from spending the same
- * budget. */
+/* Returns whether one more instance of the pool may be drained by plan. This is counted in the
+ * document that the step writes, so that drains that other waves or moves began in the same step
+ * count as well. The compare-and-swap on that document keeps competing planners from spending the
+ * same budget. */
 bool
 mt_planner_may_drain (const struct mt_plan *plan, const char *pool_name)
 {
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -61,9 +61,9 @@
     }
 }
 
-/* Whether the left rack's instances are rebooted before the right one's. One rack at a time, the
- * current one first, then by name: a rack that fails during the wave then affects as few other
- * services as possible. */
+/* Returns whether the left rack's instances are rebooted before the right one's. One rack at a
+ * time, the current one first, then by name: a rack that fails during the wave then affects as few
+ * other services as possible. */
 static bool
 comes_before (const struct wave *wave, const char *left, const char *right)
 {
@@ -74,8 +74,8 @@
   return strcmp (left, right) < 0;
 }
 
-/* Whether the record's instance may be drained. *closed is the last pool without budget, and saves
- * counting all records again for the next candidate of that pool. */
+/* Returns whether the record's instance may be drained. *closed is the last pool without budget,
+ * and saves counting all records again for the next candidate of that pool. */
 static bool
 has_budget (const struct mt_plan *plan,
             const struct mt_assign_record *record,
--- a/core/jobs/plan.c
+++ b/core/jobs/plan.c
@@ -231,8 +231,8 @@
   round->starts++;
 }
 
-/* Whether a running task may be preempted for a waiting urgent job whose team is within its quota.
- * Aged tasks are never preempted: this bounds the time until a background job ends. */
+/* Returns whether a running task may be preempted for a waiting urgent job whose team is within its
+ * quota. Aged tasks are never preempted: this bounds the time until a background job ends. */
 static bool
 is_preemptible (const struct mt_job *task, const struct mt_job *to)
 {
--- a/core/once/once_flight.c
+++ b/core/once/once_flight.c
@@ -141,8 +141,8 @@
   VERDICT_REFRESH_VIEW, /* claimed in the view, but perhaps released since */
 };
 
-/* Whether the view is more recent than the request, or nearly so. RUNNING and LOST are not reported
- * from an older view, since the holder may have released the key long ago. */
+/* Returns whether the view is more recent than the request, or nearly so. RUNNING and LOST are not
+ * reported from an older view, since the holder may have released the key long ago. */
 static bool
 is_answerable (const struct mt_once *once, const struct mt_once_request *request)
 {
--- a/core/path/dispatch.c
+++ b/core/path/dispatch.c
@@ -186,8 +186,8 @@
   dispatch->callbacks->expired (ticket);
 }
 
-/* Whether a queued ticket may get a slot before until_us. Requests in flight on minions that accept
- * no new work free no slot for it. */
+/* Returns whether a queued ticket may get a slot before until_us. Requests in flight on minions
+ * that accept no new work free no slot for it. */
 static bool
 may_get_slot (const struct mt_dispatch *dispatch, int64_t until_us)
 {
@@ -419,8 +419,8 @@
   grant_queued (dispatch, now);
 }
 
-/* Slots in use count as well as free ones: a pool whose minions are all full still works through
- * its queue. */
+/* Returns the number of slots that work through the queue: those in use, as a pool whose minions
+ * are all full still serves it, and the free ones. */
 static unsigned
 count_busy_and_free_slots (const struct mt_dispatch *dispatch)
 {
@@ -434,9 +434,10 @@
          / count_busy_and_free_slots (dispatch);
 }
 
-/* A request that gets its slot later than this would as likely as not miss its deadline, and would
- * take the slot from a request that can still meet its own. The margin is at most half of the
- * remaining time, so that a request with a short deadline still gets a chance. */
+/* Returns the latest useful time for the ticket to get a slot. After it the request would probably
+ * miss its deadline, and would take the slot from a request that can still meet its own. The margin
+ * before the deadline is at most half of the remaining time, so that a request with a short
+ * deadline still gets a chance. */
 static int64_t
 compute_expiry (const struct mt_dispatch *dispatch, const struct mt_ticket *ticket, int64_t now_us)
 {
@@ -445,9 +446,9 @@
   return ticket->deadline_us - MIN (needed, (ticket->deadline_us - now_us) / 2);
 }
 
-/* Called only when no slot is free, so that new service time samples are coming: an estimate that
- * is too high refuses no requests while the pool is idle, and is soon corrected while the pool is
- * busy. */
+/* Returns the reason to refuse the ticket, or MT_REFUSAL_NONE. To be called only when no slot is
+ * free: requests in flight then give new samples of the service time. So an estimate that is too
+ * high refuses no requests while the pool is idle, and is soon corrected while it is busy. */
 static enum mt_refusal
 check_admission (const struct mt_dispatch *dispatch,
                  const struct mt_ticket *ticket,
--- a/core/path/ejection.c
+++ b/core/path/ejection.c
@@ -2,8 +2,8 @@
 
 #define EJECT_CONSECUTIVE_FAILURES 5
 #define EJECT_FAILURE_RATE         500 /* in thousandths */
-#define WEIGHT                     8   /* of the moving mean: one answer counts an eighth */
-#define REINSTATE_PROBES           3   /* consecutive successes */
+#define WEIGHT                     8   /* one answer counts an eighth in the moving mean */
+#define REINSTATE_PROBES           3   /* consecutive successful probes that reinstate a minion */
 #define FIRST_EJECTION_US          (1 * MT_SECOND)
 #define MAX_BACKOFF_EXPONENT       5
 
--- a/core/path/service_time.c
+++ b/core/path/service_time.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 /* A single slow request at low load, when samples are few, must not distort the estimate for the
- * next load peak: a sample counts a sixteenth, and as four times the mean at most. */
+ * next load peak: a sample weighs a sixteenth, and counts as at most four times the mean. */
 #define WEIGHT           16
 #define CLAMP_FACTOR     4
 #define DEVIATION_FACTOR 2
--- a/fleet/cluster.h
+++ b/fleet/cluster.h
@@ -28,26 +28,26 @@
 
 /* Sets the leaderships that this daemon competes for. Does not drop one that is no longer named. */
 void mt_cluster_set_leaderships (struct mt_cluster *cluster, const char *const *names);
-/* Address of the leadership's holder, as last seen; NULL if it is not known. Valid until the next
- * change. */
+/* Returns the address of the leadership's holder, as last seen; NULL if it is not known. Valid
+ * until the next change. */
 const char *mt_cluster_holder (const struct mt_cluster *cluster, const char *leadership);
-/* Fencing token of the leadership; 0 if this daemon does not hold it. */
+/* Returns the fencing token of the leadership; 0 if this daemon does not hold it. */
 int64_t mt_cluster_token (const struct mt_cluster *cluster, const char *leadership);
-/* Key of the leadership in the store, as a precondition of writes. Free with g_free. */
+/* Returns the leadership's key in the store, for preconditions of writes; free it with g_free. */
 char *mt_cluster_leader_key (const char *leadership);
-/* Whether this daemon's lease is still valid by the local clock, counted from when its last renewal
- * was sent. */
+/* Returns whether this daemon's lease is still valid by the local clock, counted from when its last
+ * renewal was sent. */
 bool mt_cluster_lease_is_valid (const struct mt_cluster *cluster);
-/* Milliseconds since the lease ceased to be valid, 0 while it is valid; INT64_MAX if there is no
- * lease. */
+/* Returns the milliseconds since the lease ceased to be valid: 0 while it is valid, INT64_MAX if
+ * there is no lease. */
 int64_t mt_cluster_lease_invalid_ms (const struct mt_cluster *cluster);
 /* Drops the leadership locally: another daemon holds it or its key is gone. */
 void
 mt_cluster_drop_leadership (struct mt_cluster *cluster, const char *leadership, const char *why);
-/* Addresses of the other daemons, NULL-terminated. Free with g_strfreev. */
+/* Returns the addresses of the other daemons, NULL-terminated; free them with g_strfreev. */
 char **mt_cluster_peers (const struct mt_cluster *cluster);
-/* Whether the daemon at this address can confirm a store outage: it is in another data centre, so
- * that a partition of this one does not affect it, or there is no other data centre. */
+/* Returns whether the daemon at this address can confirm a store outage: it is in another data
+ * centre, so that a partition of this one does not affect it, or there is no other data centre. */
 bool mt_cluster_can_confirm_outage (const struct mt_cluster *cluster, const char *address);
 size_t mt_cluster_size (const struct mt_cluster *cluster);
 /* Revokes the lease, so that the others need not wait for it to expire. done is called once the
--- a/fleet/frontend.c
+++ b/fleet/frontend.c
@@ -93,8 +93,8 @@
   return n == ID_CHARS && text[n] == '\0';
 }
 
-/* Whether the configuration has been unconfirmed for too long: it may still have a key that was
- * removed. */
+/* Returns whether the configuration has been unconfirmed for too long: it may still have a key that
+ * was removed. */
 static bool
 keys_are_stale (const struct mt_frontend *frontend)
 {
--- a/fleet/frontend.h
+++ b/fleet/frontend.h
@@ -23,7 +23,7 @@
   struct mt_metrics *metrics;
   /* Returns the pool if this daemon leads it, else NULL. */
   struct mt_pool *(*local_pool) (void *ctx, const char *pool);
-  /* Whether the store is expected to answer. */
+  /* Returns whether the store is expected to answer. */
   bool (*store_answers) (void *ctx);
   /* Milliseconds since the store last confirmed the current configuration. */
   int64_t (*config_age_ms) (void *ctx);
@@ -37,7 +37,7 @@
 /* The configuration is borrowed until the next call; NULL for none. */
 void mt_frontend_set_config (struct mt_frontend *frontend, const struct mt_fleet_config *config);
 void mt_frontend_handle (struct mt_frontend *frontend, struct mt_exchange *exchange);
-/* Number of submissions and queries in flight. */
+/* Returns the number of submissions and queries in flight. */
 unsigned mt_frontend_in_flight (const struct mt_frontend *frontend);
 
 #endif
--- a/fleet/frontend_ask.c
+++ b/fleet/frontend_ask.c
@@ -118,8 +118,8 @@
   mt_kv_read (&q->frontend->options.kv, key, STORE_TIMEOUT_MS, on_cancel_key, q);
 }
 
-/* Whether the reply has the job and the caller may see it: another workspace's job counts as
- * missing. */
+/* Returns whether the reply has the job and the caller may see it: another workspace's job counts
+ * as missing. */
 static bool
 has_visible_job (const struct query *q, const struct mt_kv_reply *reply)
 {
@@ -152,8 +152,8 @@
   mt_kv_read (&q->frontend->options.kv, key, STORE_TIMEOUT_MS, on_progress_key, q);
 }
 
-/* Used if the pool has no leader or its leader does not know the job: only the store can say that a
- * job does not exist. */
+/* Reads the job's state from the store, if the pool has no leader or its leader does not know the
+ * job: only the store shows that a job does not exist. */
 static void
 query_store (struct query *q)
 {
@@ -201,7 +201,8 @@
   enum mt_job_state state = MT_JOB_UNKNOWN;
 
   mt_metrics_increment (frontend->options.metrics, MT_COUNT_QUERIES);
-  /* A leader that may have been replaced without noticing must not report an obsolete state. */
+  /* Without a valid lease this leader may have been replaced, and must not report an obsolete
+   * state. */
   if (local_pool != NULL && mt_cluster_lease_is_valid (frontend->options.cluster))
     state = mt_pool_state_for (local_pool, id, workspace);
   if (state != MT_JOB_UNKNOWN)
--- a/fleet/frontend_internal.h
+++ b/fleet/frontend_internal.h
@@ -26,7 +26,8 @@
   struct mt_admission *admission;
   unsigned txns;
   unsigned in_flight;
-  int64_t estimate_paused_until; /* no estimate is requested before: a leader did not answer */
+  int64_t estimate_paused_until; /* no estimate is requested before this time: a leader did not
+                                    answer */
 };
 
 /* body: JSON, or NULL for an empty object. retry_after_s: 0 for no Retry-After header. */
@@ -47,8 +48,8 @@
                                 enum mt_mesh_method method,
                                 const struct mt_mesh_args *args);
 
-/* Retry-After value in whole seconds: the wait plus a random part of up to the same length, by draw
- * (0 to 1), so that refused callers do not all return together. */
+/* Returns a Retry-After value in whole seconds: the wait plus a random part of up to the same
+ * length, by draw (0 to 1), so that refused callers do not all return together. */
 unsigned mt_frontend_retry_after_s (int64_t wait_ms, double draw);
 
 /* workspace: of the caller; "" if the route asks for no key. */
--- a/fleet/frontend_submit.c
+++ b/fleet/frontend_submit.c
@@ -10,9 +10,9 @@
 /* Delay before retrying a write that the store refused or did not answer. A refusal says that
  * nothing was done. */
 #define RETRY_MS 80
-/* Submissions of one transaction; each takes a precondition and a put. */
+/* Most submissions in one transaction; each takes a precondition and a put. */
 #define SUBMITS_PER_TXN 15
-/* Transactions of submissions in flight; submissions meanwhile go into the next one. */
+/* Most transactions of submissions in flight; later submissions wait and share the next one. */
 #define MAX_TXNS_IN_FLIGHT 2U
 
 /* Time-out of a wait estimate: the pool's leader answers from memory in a few ms. After a time-out
@@ -30,7 +30,7 @@
   char *value;
   size_t value_len;
   int64_t began;
-  int64_t retry_ms;     /* delay after which a refused job could be served; else 0 */
+  int64_t retry_ms;     /* of a refused job: delay after which it could be served; else 0 */
   bool outcome_unknown; /* a write of it had no answer, so it may be stored */
 };
 
@@ -179,8 +179,8 @@
   send_submits (frontend);
 }
 
-/* Whether a conflict names none of the submissions. The store then contradicts itself for the
- * moment, and an immediate retry could loop for ever. */
+/* Returns whether a conflict names none of the submissions. The store then contradicts itself for
+ * the moment, and an immediate retry could loop for ever. */
 static bool
 names_no_submit (const struct txn *t, const struct mt_kv_reply *reply)
 {
@@ -367,7 +367,7 @@
                   on_estimate, s);
 }
 
-/* Whether a wait estimate makes sense: not for a job that is scheduled for later or has a
+/* Returns whether a wait estimate makes sense: not for a job that is scheduled for later or has a
  * long-running step. */
 static bool
 can_estimate (const struct mt_job_spec *spec)
--- a/fleet/journal.c
+++ b/fleet/journal.c
@@ -70,8 +70,8 @@
   return MAX_EVENTS - 1;
 }
 
-/* Writes pending bytes without blocking: a slow reader costs lines, never time. The unwritten rest
- * of a line is kept, so that the next line starts on its own. */
+/* Writes pending bytes without blocking: a slow reader loses lines but delays nothing. The
+ * unwritten rest of a line is kept, so that the next line starts on its own. */
 static void
 write_pending (struct mt_journal *j)
 {
--- a/fleet/neighbours.h
+++ b/fleet/neighbours.h
@@ -8,7 +8,7 @@
 #include "pool.h"
 #include "relay.h"
 
-/* What the calls are answered from. Owned by its creator; must outlive the mesh. */
+/* Parts that answer the calls. Owned by its creator; must outlive the mesh. */
 struct mt_peer_service
 {
   struct mt_cluster *cluster;
--- a/fleet/pool.h
+++ b/fleet/pool.h
@@ -19,8 +19,8 @@
   struct mt_workers workers;
   const struct mt_codec *codec;
   struct mt_cluster *cluster;
-  struct mt_scheduler_settings sched; /* its name is replaced by the pool's */
-  /* Whether no daemon reaches the store, as far as this one can tell. */
+  struct mt_scheduler_settings sched; /* its name is ignored: the pool's name is used */
+  /* Returns whether no daemon reaches the store, as far as this one can tell. */
   bool (*store_is_down) (void *ctx);
   /* Milliseconds that a message sent now waits before it leaves this machine. */
   int64_t (*link_wait_ms) (void *ctx);
@@ -32,11 +32,12 @@
 /* Calls in flight finish by themselves; the memory is freed after the last of them. */
 void mt_pool_destroy (struct mt_pool *pool);
 
-/* Whether all jobs that the store had at creation are loaded. */
+/* Returns whether all jobs that the store had at creation are loaded. */
 bool mt_pool_is_loaded (const struct mt_pool *pool);
 struct mt_scheduler *mt_pool_scheduler (struct mt_pool *pool);
 int64_t mt_pool_token (const struct mt_pool *pool);
-/* The job's state as the workspace may see it: MT_JOB_UNKNOWN for a job of another workspace. */
+/* Returns the job's state as the workspace may see it: MT_JOB_UNKNOWN for a job of another
+ * workspace. */
 enum mt_job_state
 mt_pool_state_for (const struct mt_pool *pool, const char *id, const char *workspace);
 /* Runs a scheduling cycle if one is pending and sends orders. To be called after the scheduler's
--- a/fleet/pool_keys.h
+++ b/fleet/pool_keys.h
@@ -15,7 +15,7 @@
 /* Returns the part after the last slash, within key. */
 const char *mt_pool_key_id (const char *key);
 
-/* The job's state in a progress record; MT_JOB_UNKNOWN if it cannot be read. */
+/* Returns the job's state in a progress record; MT_JOB_UNKNOWN if the record can't be read. */
 enum mt_job_state mt_pool_record_state (struct mt_str record);
 
 /* A stored submission. */
@@ -32,7 +32,8 @@
  * mt_pool_submission_clear, also after false. */
 bool mt_pool_submission_unpack (struct mt_str value, struct mt_pool_submission *out);
 void mt_pool_submission_clear (struct mt_pool_submission *submission);
-/* Whether a workspace may see and cancel a job: its owner may, and any workspace if it has none. */
+/* Returns whether a workspace may see and cancel a job: its owner may, and any workspace if it has
+ * none. */
 bool mt_pool_job_is_visible (const char *owner, const char *workspace);
 
 #endif
--- a/fleet/relay.h
+++ b/fleet/relay.h
@@ -13,10 +13,10 @@
 struct mt_relay *
 mt_relay_create (struct mt_adapter *platform, struct mt_mesh *mesh, struct mt_cluster *cluster);
 void mt_relay_destroy (struct mt_relay *relay);
-/* Whether there is a store outage: neither this daemon nor one in another data centre reaches the
- * store, and no relayed call reached it recently. Evidence from this data centre alone does not
- * count: in a network partition all daemons in it fail to reach the store while a leader elsewhere
- * takes over. */
+/* Returns whether there is a store outage: neither this daemon nor one in another data centre
+ * reaches the store, and no relayed call reached it recently. Evidence from this data centre alone
+ * does not count: in a network partition all daemons in it fail to reach the store while a leader
+ * elsewhere takes over. */
 bool mt_relay_sees_outage (const struct mt_relay *relay);
 /* Answers a store call that another daemon relays through this one. */
 void
--- a/fleet/roster.c
+++ b/fleet/roster.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* Longest wait of the watch: a silent one is noticed after it. Workers that leave must get no new
- * work within two seconds. */
+/* Longest wait of the watch, after which a silent watch is noticed. Workers that leave must get no
+ * new work within two seconds. */
 #define WATCH_WAIT_MS 1200
 /* Pause between watches that brought changes. Workers write every 1.5 s and each write is an event:
  * with the pause 50 workers cost 5 calls a second instead of 33. */
--- a/fleet/settings.h
+++ b/fleet/settings.h
@@ -41,7 +41,8 @@
 /* Returns NULL with an error that names the key, the value found, the range and the remedy. */
 struct mt_fleet_settings *mt_fleet_settings_parse (struct mt_str json, GError **error);
 void mt_fleet_settings_destroy (struct mt_fleet_settings *settings);
-/* Whether the text looks like these settings, as opposed to those of medlartrack/settings.h. */
+/* Returns whether the text looks like these settings, as opposed to those of
+ * medlartrack/settings.h. */
 bool mt_fleet_settings_detect (struct mt_str json);
 
 #endif
--- a/fleet/watcher.h
+++ b/fleet/watcher.h
@@ -12,7 +12,7 @@
 struct mt_watcher_options
 {
   const char *prefix;
-  int64_t wait_ms;  /* longest wait of one watch; a silent one is noticed after it */
+  int64_t wait_ms;  /* longest wait of one watch, after which a silent watch is noticed */
   int64_t pause_ms; /* pause after a watch that brought changes, to gather more in the next call */
   /* Called for each key that was set or deleted, also for keys that a list finds gone; in the order
    * of revisions within one answer. */
@@ -28,7 +28,7 @@
                                       const struct mt_watcher_options *options);
 /* May be called from its own callbacks. */
 void mt_watcher_destroy (struct mt_watcher *watcher);
-/* When the store last answered this watcher, by mt_loop_now; 0 for never. */
+/* Returns when the store last answered this watcher, by mt_loop_now; 0: never. */
 int64_t mt_watcher_last_answer (const struct mt_watcher *watcher);
 
 #endif
