--- a/daemon/claims.c
+++ b/daemon/claims.c
@@ -13,7 +13,7 @@
 
 #define RETENTION_US      (3600 * MT_SECOND)
 #define MAX_WAIT_US       (2 * MT_SECOND) /* for a claim to be committed */
-#define HOLDER_GRACE_MS   2000            /* after its deadline a silent holder counts as lost */
+#define HOLDER_GRACE_MS   2000 /* from its deadline until a silent holder counts as lost */
 #define IDLE_INTERVAL_US  (5 * MT_SECOND) /* between checks for claims to trim */
 #define PROBE_CHECK_US    (1 * MT_SECOND) /* between checks whether the service is down */
 #define PROBE_INTERVAL_US (250 * MT_MS)   /* between probes while the service is down */
@@ -25,7 +25,7 @@
 #define WRITE_INTERVAL_US (800 * MT_MS)
 #define WRITE_BURST       4
 /* Limit on the claims held in all shards together. A claim takes 72 bytes in batches of 10, and 133
- * bytes in a batch of its own (bench/claims_memory): 22 to 40 MB of the daemon's 64. */
+ * bytes in a batch of its own (bench/claims_memory): 22 to 40 MB of the daemon's 64 MB. */
 #define MAX_CLAIMS_HELD 300000
 
 struct shard
@@ -294,9 +294,9 @@
 }
 
 /* Asks the shard's owner to commit the claim. Returns false if this daemon has to commit it itself,
- * which is then a new attempt. If the owner may have claimed the first attempt, that is released
- * first, in the same batch as the new claim or an earlier one, so that an owner which commits it
- * late neither frees the key nor blocks it. */
+ * as a new attempt. If the owner may have committed the first attempt, the release of that attempt
+ * is queued here, and written in the same batch as the new claim or an earlier one: a late commit
+ * by the owner then neither frees the key nor blocks it. */
 static bool
 claim_at_owner (struct mt_claims *claims, struct mt_once_request *request)
 {
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -45,7 +45,7 @@
   unsigned reboots;
 
   /* Accessed by the planner thread only. */
-  struct mt_lease *lease; /* of the planner */
+  struct mt_lease *lease; /* whose holder is the planner */
   struct mt_capacity *capacity;
   GHashTable *leaving_epochs; /* minion that reported leaving -> epoch of its record then */
 };
@@ -107,10 +107,10 @@
   return mt_clock_wall (control->options.clock) / MT_SECOND;
 }
 
-/* Writes this daemon's holder key unless that is done; returns whether it is. A planner waits until
- * every daemon that may hold a document confirms it, and finds these daemons by their holder keys.
- * So a daemon reads no document before its key is written: a planner that does not see the key
- * wrote the document that it waits for before this daemon reads. */
+/* Writes this daemon's holder key if it is not yet written. Returns false if that failed. A planner
+ * waits until every daemon that may hold a document confirms it, and finds these daemons by their
+ * holder keys. So a daemon reads no document before its key is written: a planner that does not see
+ * the key wrote the document that it waits for before this daemon reads. */
 static bool
 register_holder (struct mt_control *control)
 {
@@ -203,7 +203,8 @@
   control->planning = planning;
   g_ptr_array_set_size (control->reports, 0);
   g_mutex_unlock (&control->lock);
-  /* The demand that another planner measured is not known here. */
+  /* A new planner starts without the demand that the previous one measured: it is not known here.
+   */
   mt_capacity_destroy (control->capacity);
   control->capacity = planning ? mt_capacity_create (control->options.policy) : NULL;
 }
@@ -407,8 +408,9 @@
   mt_planner_result_destroy (result);
 }
 
-/* Whether the minion of a serving record reported to this daemon that it leaves, and the document
- * does not show that yet. A minion whose record serves again under a later epoch is back since. */
+/* Returns true if the minion of a serving record reported to this daemon that it leaves, and the
+ * document does not show that yet. If the record is serving again under a later epoch, the minion
+ * has rejoined since. */
 static bool
 is_newly_leaving (struct mt_control *control, const struct mt_assign_record *record)
 {
--- a/daemon/document_assign.c
+++ b/daemon/document_assign.c
@@ -2,7 +2,7 @@
 #include "view.h"
 
 static uint64_t
-assign_version (void *ctx)
+get_assign_version (void *ctx)
 {
   const struct mt_assign_source *source = ctx;
 
@@ -10,7 +10,7 @@
 }
 
 static bool
-assign_before_send (void *ctx, struct mt_str name)
+register_receiver (void *ctx, struct mt_str name)
 {
   const struct mt_assign_source *source = ctx;
 
@@ -18,7 +18,7 @@
 }
 
 static char *
-assign_format (void *ctx)
+format_assign (void *ctx)
 {
   const struct mt_assign_source *source = ctx;
   const struct mt_assign *assign;
@@ -32,7 +32,7 @@
 }
 
 static bool
-assign_offer (void *ctx, struct mt_str text, GError **error)
+offer_assign (void *ctx, struct mt_str text, GError **error)
 {
   const struct mt_assign_source *source = ctx;
   struct mt_assign *assign = mt_assign_parse (text, error);
@@ -46,7 +46,7 @@
 /* Only members of this daemon's data centre report a version, so the document of another data
  * centre is never fetched. */
 static uint64_t
-assign_member_version (const struct mt_member *member)
+get_member_assign_version (const struct mt_member *member)
 {
   return member->assign_version;
 }
@@ -55,11 +55,11 @@
   .name = "assignment",
   .description = "which pool each instance of the data centre serves",
   .type = MT_PEER_ASSIGN,
-  .version = assign_version,
-  .before_send = assign_before_send,
-  .format = assign_format,
-  .offer = assign_offer,
-  .member_version = assign_member_version,
+  .version = get_assign_version,
+  .before_send = register_receiver,
+  .format = format_assign,
+  .offer = offer_assign,
+  .member_version = get_member_assign_version,
 };
 
 const struct mt_document *
--- a/daemon/document_tables.c
+++ b/daemon/document_tables.c
@@ -2,13 +2,13 @@
 #include "view.h"
 
 static uint64_t
-tables_version (void *ctx)
+get_tables_version (void *ctx)
 {
   return mt_view_version (ctx);
 }
 
 static char *
-tables_format (void *ctx)
+format_tables (void *ctx)
 {
   const struct mt_tables *tables = mt_view_begin (ctx);
   char *text = tables != NULL ? mt_tables_format (tables, tables->version, tables->id.data) : NULL;
@@ -20,7 +20,7 @@
 /* Tables from a peer get the same checks as those from an operator: a peer of another version, or a
  * hostile one, can't put tables in force that `apply` would refuse. */
 static bool
-tables_offer (void *ctx, struct mt_str text, GError **error)
+offer_tables (void *ctx, struct mt_str text, GError **error)
 {
   struct mt_tables *tables = mt_tables_parse (text, error);
 
@@ -31,7 +31,7 @@
 }
 
 static uint64_t
-tables_member_version (const struct mt_member *member)
+get_member_tables_version (const struct mt_member *member)
 {
   return member->tables_version;
 }
@@ -40,10 +40,10 @@
   .name = "tables",
   .description = "the operators' routes and pools",
   .type = MT_PEER_TABLES,
-  .version = tables_version,
-  .format = tables_format,
-  .offer = tables_offer,
-  .member_version = tables_member_version,
+  .version = get_tables_version,
+  .format = format_tables,
+  .offer = offer_tables,
+  .member_version = get_member_tables_version,
 };
 
 const struct mt_document *
--- a/daemon/documents.c
+++ b/daemon/documents.c
@@ -66,8 +66,8 @@
   return 0;
 }
 
-/* Picks among the live and reachable members. An unreachable one is picked only if no other has a
- * newer version: the partition may be over. */
+/* Picks among the live and reachable members. An unreachable member is picked only if no reachable
+ * one has a newer version: the partition may be over. */
 static void
 visit_reachable (void *ctx, const struct mt_member *member)
 {
--- a/daemon/feed.c
+++ b/daemon/feed.c
@@ -19,8 +19,10 @@
  * half of this. There is no index to wait at then and the watch returns at once, so the delay
  * bounds the number of calls. */
 #define EMPTY_DELAY_US (1 * MT_SECOND)
-/* Spreads the second reads of a repair, so that most daemons find the store repaired by the first.
- * Part of the time that `medlartrackctl apply` waits before it reports "accepted". */
+/* Maximum random delay between the read that finds older tables in the store and
+ * mt_acceptance_repair, which reads once more before it writes: most daemons then find the store
+ * already repaired by the first one. Included in the time that `medlartrackctl apply` waits before
+ * it reports "accepted". */
 #define REPAIR_JITTER_US (200 * MT_MS)
 
 struct mt_feed
@@ -38,7 +40,7 @@
   int64_t backoff_us;
   bool reachable;
   uint64_t seen_hash;     /* of the stored value that is in force here; 0: none */
-  uint64_t seen_version;  /* its version */
+  uint64_t seen_version;  /* version of the tables in that value */
   uint64_t refused_index; /* of the last value that was logged as refused */
   char *logged_fork;
 };
@@ -168,10 +170,10 @@
   return acceptance;
 }
 
-/* Whether the value is the one in force, which is then confirmed, or there is nothing to do. Most
- * watches end with an unchanged value: parsing the whole tables each time would be the largest idle
- * cost of a daemon. Values are compared by their hash, not by the store's index: after a restore an
- * index may recur with another value. */
+/* Returns true if the value needs no processing: it is the one in force, which is then confirmed,
+ * or the feed is stopping. Most watches end with an unchanged value: parsing the whole tables each
+ * time would be the largest idle cost of a daemon. Values are compared by their hash, not by the
+ * store's index: after a restore an index may recur with another value. */
 static bool
 confirm_if_seen (struct mt_feed *feed, const struct mt_store_value *value)
 {
@@ -242,7 +244,7 @@
   return feed->store->ops->get (feed->store->ctx, MT_TABLES_KEY, value, NULL) && value->found;
 }
 
-/* Makes one watch and handles its result. *index is the index of the last value seen. */
+/* Makes one watch call and handles its result. *index is the index of the last value seen. */
 static void
 watch_once (struct mt_feed *feed, uint64_t *index)
 {
--- a/daemon/front.c
+++ b/daemon/front.c
@@ -50,8 +50,9 @@
   const char *reason;
 };
 
-/* Returns the time in seconds until the current queue is served, plus up to as much again: callers
- * that were refused together and retried in the same second would form the same surge again. */
+/* Returns the time in seconds until the current queue is served, plus up to the same time again,
+ * spread by the request's number: callers that were refused together and retried in the same second
+ * would form the same surge again. */
 static unsigned
 compute_retry_after_s (struct mt_front *front, const struct routing *routing)
 {
@@ -349,7 +350,7 @@
   return result;
 }
 
-/* Sets the request's one answer. */
+/* Sets the request's answer, once all attempts are made. */
 static void
 set_answer (struct mt_front *front,
             struct mt_http_request *request,
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -174,7 +174,7 @@
     }
 }
 
-/* Counts all declared jobs as removed until declare_job finds their row again. */
+/* Moves all declared jobs to `removed`; declare_job moves those back that still have a row. */
 static void
 assume_removed (struct mt_jobs_runner *runner)
 {
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -12,8 +12,8 @@
 #define MAX_LEAVE_SEEDS         8 /* addresses without a member that are notified of leaving */
 #define LEAVE_TIMEOUT_US        (500 * MT_MS)
 #define THREADS                 4
-#define MIN_TRIGGER_INTERVAL_US (50 * MT_MS) /* changes within it share a heartbeat */
-#define SEED_INTERVAL           8            /* heartbeats per contact to an address of no member */
+#define MIN_TRIGGER_INTERVAL_US (50 * MT_MS) /* triggers within this time share a heartbeat */
+#define SEED_INTERVAL           8            /* every 8th heartbeat also contacts a seed address */
 #define MAX_SEEDS               512
 
 struct mt_peers
--- a/daemon/pools.c
+++ b/daemon/pools.c
@@ -6,8 +6,8 @@
 {
   GMutex lock; /* guards dispatch and all slots of the pool */
   struct mt_dispatch *dispatch;
-  GHashTable
-      *epochs; /* minion -> guint64, epoch of the record that gave it to the pool; same lock */
+  /* minion -> guint64, epoch of the record that assigned it to the pool; guarded by lock */
+  GHashTable *epochs;
 };
 
 struct mt_pools
--- a/daemon/proxied.c
+++ b/daemon/proxied.c
@@ -10,7 +10,7 @@
   struct mt_view_holder *views;
   char *zone;
   GMutex lock;         /* guards all below */
-  GHashTable *missing; /* names whose key is not known to be written */
+  GHashTable *missing; /* names of daemons whose key is not known to be written */
 };
 
 struct mt_proxied *
@@ -75,7 +75,8 @@
   return names;
 }
 
-/* Most daemons have written their own key, and a read costs the platform less than a write. */
+/* Called before a write: most daemons have written their own key, and a read costs the platform
+ * less than a write. */
 static bool
 has_key (const struct mt_store *store, const char *key)
 {
