--- a/net/http_calls.c
+++ b/net/http_calls.c
@@ -29,7 +29,7 @@
   struct lane *lane;
   struct evhttp_connection *evcon;
   struct pending_call *pending; /* NULL while idle */
-  bool connected;               /* has carried an answer: a later failure is not one to connect */
+  bool connected;               /* has carried an answer; a later failure is not a failed connect */
 };
 
 struct pending_call
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -13,7 +13,7 @@
 
 #define MAX_IDLE_CONNECTIONS 64 /* kept connections per address if the call sets no limit */
 #define IDLE_TIMEOUT_US      (10 * MT_SECOND)
-#define MAX_OVERRUN_US       (1 * MT_SECOND) /* after the deadline; then a slow answer is cut off */
+#define MAX_OVERRUN_US       (1 * MT_SECOND) /* past the deadline; then reading the answer stops */
 #define CONNECT_TIMEOUT_S    2 /* within a data centre a live machine answers sooner */
 #define READ_CHUNK_BYTES     16384
 #define MAX_HEADERS          64
@@ -122,8 +122,9 @@
   return remaining_us <= 0 ? 1 : (int) ((remaining_us + MT_SECOND - 1) / MT_SECOND);
 }
 
-/* neon sets a connection's timeout when opening it. A shorter one would cut off this call, and a
- * much longer one would let it wait far past its deadline. */
+/* Removes and returns an idle connection whose timeout suits the call; NULL if there is none. neon
+ * sets a connection's timeout when opening it. A shorter one would end the call before its
+ * deadline, and a much longer one would let it wait far past its deadline. */
 static struct idle_connection *
 pop_compatible (struct peer *peer, int timeout_s)
 {
@@ -252,7 +253,8 @@
   return true;
 }
 
-/* Without a length or chunks a truncated answer looks complete. */
+/* Returns true if the end of the body is known: without a length or chunks a truncated answer looks
+ * complete. */
 static bool
 answer_is_delimited (ne_request *request, const char *method, int status)
 {
@@ -411,9 +413,9 @@
   return MT_HTTP_UNKNOWN;
 }
 
-/* A connection whose exchange failed may still receive the late answer, which the next request
- * would take for its own, so it is not reused. Nor is one whose minion echoes no id: the copy of a
- * duplicated answer would be taken for the next request's. */
+/* A connection whose exchange failed is not reused: it may still receive the late answer, which
+ * would be taken for the answer to the next request. Nor is one whose minion echoes no id: the copy
+ * of a duplicated answer would be taken for the answer to the next request. */
 static bool
 is_reusable (const struct mt_http_call *call,
              const struct mt_http_answer *answer,
--- a/net/http_connections.c
+++ b/net/http_connections.c
@@ -36,7 +36,8 @@
          && now_us - connection->phase_since_us > connections->limit_us;
 }
 
-/* libmicrohttpd's own timeout restarts with each byte: a caller that sends single bytes at
+/* Shuts down connections that are idle, receiving or sending for longer than limit_us.
+ * libmicrohttpd's own timeout restarts with each byte: a caller that sends single bytes at
  * intervals would hold its connection open, and block a graceful stop, for ever. */
 static gpointer
 run_watchdog (gpointer data)
@@ -112,8 +113,8 @@
   bool was_in_flight = connection->phase != MT_HTTP_PHASE_IDLE;
   bool is_in_flight = phase != MT_HTTP_PHASE_IDLE;
 
-  /* The time for receiving counts from the last answer on, so that a slow request line is limited
-   * like slow headers. */
+  /* The time limit for receiving a request counts from the end of the last answer, so that a slow
+   * request line is limited like slow headers. */
   if (phase != MT_HTTP_PHASE_RECEIVING)
     connection->phase_since_us = mt_clock_now (connections->clock);
   connection->phase = phase;
--- a/net/http_exchange.c
+++ b/net/http_exchange.c
@@ -8,8 +8,8 @@
 
 #define THREAD_IDLE_TIMEOUT_S 10 /* a thread idle for this time exits */
 
-/* Uses a semaphore instead of a condition: the thread that posts holds no lock for which the woken
- * thread would have to wait. */
+/* A thread of the pool. It waits on a semaphore instead of a condition: the thread that posts holds
+ * no lock for which the woken thread would have to wait. */
 struct worker
 {
   struct exchange *exchange; /* set before the semaphore is posted */
@@ -23,9 +23,10 @@
   unsigned max_threads;
   size_t max_memory_bytes;
   GMutex lock; /* guards the fields below */
-  GQueue
-      idle; /* of struct worker, most recently used first: its cache is warm, the others may exit */
-  unsigned n_threads; /* threads */
+  /* Of struct worker, most recently used first: its cache is warm, and the others can time out and
+   * exit. */
+  GQueue idle;
+  unsigned n_threads; /* idle and busy ones */
   bool stopping;
   GCond thread_ended;
 };
@@ -111,7 +112,7 @@
   return NULL;
 }
 
-/* Returns true if this thread was the first to end the exchange. */
+/* Sets the final state. Returns true if this thread was the first to end the exchange. */
 static bool
 end_exchange (struct exchange *exchange, enum exchange_state state)
 {
--- a/net/http_front.c
+++ b/net/http_front.c
@@ -167,7 +167,7 @@
   exchange->suspended = false;
   g_queue_unlink (&exchange->front->suspended, &exchange->link);
   MHD_resume_connection (exchange->connection);
-  /* libmicrohttpd runs once after all answers that are given in one iteration of the loop. */
+  /* Schedules a single run of libmicrohttpd for all answers given in this iteration of the loop. */
   event_active (exchange->front->readable_event, EV_TIMEOUT, 0);
 }
 
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -86,7 +86,8 @@
   return MHD_YES;
 }
 
-/* Called before libmicrohttpd splits the URI, so that the query reaches the minion unchanged. */
+/* Called before libmicrohttpd splits the URI. Copies the URI here, so that the query reaches the
+ * minion unchanged. */
 static void *
 on_request_started (void *ctx, const char *uri, struct MHD_Connection *connection)
 {
--- a/net/peer_client.c
+++ b/net/peer_client.c
@@ -79,7 +79,7 @@
     }
 }
 
-/* False if the peer has closed the connection or sent unsolicited data. */
+/* Returns false if the peer has closed the connection or sent unsolicited data. */
 static bool
 is_usable (int fd)
 {
@@ -188,7 +188,7 @@
   return false;
 }
 
-/* The server acts on complete frames only: until the last byte is sent, nothing is delivered. */
+/* On failure the call was not delivered: the server handles complete frames only. */
 static bool
 send_frame (const struct call *call, const char *bytes, size_t len, GError **error)
 {
@@ -235,7 +235,8 @@
   return true;
 }
 
-/* A bad reply is MT_ERROR_UNKNOWN, since the call itself was delivered. */
+/* Sets the error for a reply that can't be used. It is MT_ERROR_UNKNOWN, since the call itself was
+ * delivered. Takes ownership of cause, which may be NULL; returns false. */
 static bool
 reject_reply (const struct call *call, GError **error, GError *cause)
 {
--- a/net/peer_server.c
+++ b/net/peer_server.c
@@ -27,7 +27,7 @@
 {
   int fd;
   GByteArray *input;
-  int64_t since_us; /* accepted, last replied to, or first byte of the current frame */
+  int64_t since_us; /* time of the accept, the last reply or the current frame's first byte */
   struct mt_peer_server *server;
 };
 
@@ -154,7 +154,7 @@
   g_mutex_unlock (&server->lock);
 }
 
-/* Closes a connection that is not owned by a pool thread. */
+/* Closes the connection number i of `reading`, which no pool thread owns. */
 static void
 drop_connection (struct mt_peer_server *server, guint i)
 {
--- a/net/platform.c
+++ b/net/platform.c
@@ -5,13 +5,13 @@
 #include <jansson.h>
 #include <string.h>
 
-#define MAX_VALUE_BYTES      (2UL * 1024 * 1024)  /* 1 MB in base64, with the JSON around it */
+#define MAX_VALUE_BYTES      (2UL * 1024 * 1024)  /* a value of 1 MB in base64, and its JSON */
 #define MAX_LIST_BYTES       (32UL * 1024 * 1024) /* the largest shard of claims */
 #define RECURSE              "?recurse"
 #define BREAKER_FAILURES     3
 #define BREAKER_MIN_PAUSE_US (250 * MT_MS)
 #define BREAKER_MAX_PAUSE_US (5 * MT_SECOND)
-#define WATCH_SLACK_US       (2 * MT_SECOND) /* added to a watch's own wait */
+#define WATCH_SLACK_US       (2 * MT_SECOND) /* a watch's timeout is its wait plus this */
 
 struct mt_platform
 {
