--- a/ctl/command_apply.c
+++ b/ctl/command_apply.c
@@ -4,9 +4,9 @@
 
 #include <string.h>
 
-/* Minimum duration of a run, and interval between attempts to read back a write. It bounds the load
- * that a script running apply in a loop puts on the platform: a run makes at most 3 calls, unless
- * the response to the write was lost. */
+/* Minimum duration of a run, and interval between attempts to read back a write. This limits the
+ * load that a script running apply in a loop puts on the platform: a run makes at most 3 calls,
+ * unless the response to the write was lost. */
 #define PAUSE_US (500 * MT_MS)
 /* After the store was restored to older tables, a daemon that holds newer ones writes them back
  * within this delay plus the duration of its own two calls; see "Tables" in docs/DESIGN.md. */
@@ -76,12 +76,12 @@
   return mt_report_error (edit->context, error, code);
 }
 
-/* Reads the stored tables back to find out whether the write took effect, by looking for the edit's
- * id in the tables and in their change log. Returns true, with the outcome reported and *code set,
- * if that is certain. Returns false with an error if the platform did not answer, false without one
- * if the write may still arrive. */
+/* Reads the stored tables back and looks for the edit's id in them and in their change log, to find
+ * out whether the write took effect. If the outcome is certain, reports it, sets *code and returns
+ * true. Returns false with an error if the platform did not answer, and without one if the write
+ * may still arrive. */
 static bool
-resolve_once (const struct edit *edit, int *code, GError **error)
+read_back_once (const struct edit *edit, int *code, GError **error)
 {
   struct mt_accepted current;
   bool resolved = true;
@@ -104,7 +104,7 @@
 }
 
 static int
-resolve_write (struct edit *edit)
+read_back_write (struct edit *edit)
 {
   int code = MT_EXIT_UNKNOWN;
 
@@ -112,7 +112,7 @@
     {
       g_autoptr (GError) error = NULL;
 
-      if (resolve_once (edit, &code, &error))
+      if (read_back_once (edit, &code, &error))
         return code;
       wait_us (edit, PAUSE_US);
     }
@@ -164,7 +164,7 @@
     case MT_STORE_UNKNOWN:
       break;
     }
-  return resolve_write (edit);
+  return read_back_write (edit);
 }
 
 /* Sets the version that the edit is based on: --onto if given, else the version in the file, as
--- a/ctl/command_status.c
+++ b/ctl/command_status.c
@@ -35,7 +35,7 @@
 }
 
 static json_int_t
-newest_version (json_t *members)
+find_newest_version (json_t *members)
 {
   json_int_t newest = 0;
   const char *name;
@@ -54,7 +54,7 @@
 summarize_dump (json_t *dump)
 {
   json_t *members = json_object_get (dump, "members");
-  json_int_t newest = newest_version (members);
+  json_int_t newest = find_newest_version (members);
   json_t *lagging = json_array ();
   json_t *silent = json_array ();
   json_t *unreachable = json_array ();
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -27,7 +27,7 @@
   FILE *err;
   const char *onto;             /* --onto VERSION, or NULL */
   const char *const *may_empty; /* data centres named by --empty, NULL-terminated; NULL: none */
-  /* Sleeps for us; a test replaces it. */
+  /* Sleeps for the given number of microseconds; a test replaces it. */
   void (*pause) (void *ctx, int64_t us);
   void *pause_ctx;
 };
--- a/ctl/report.c
+++ b/ctl/report.c
@@ -7,7 +7,7 @@
 #define READ_CHUNK_BYTES 65536
 
 static const char *
-kind_name (const GError *error)
+get_error_kind (const GError *error)
 {
   static const char *const names[] = {
     [MT_ERROR_SYNTAX] = "syntax",
@@ -33,8 +33,8 @@
   g_autofree char *message = g_utf8_make_valid (error->message, -1);
 
   fprintf (context->err, "medlartrackctl: %s\n", message);
-  mt_report_json (context,
-                  json_pack ("{s{ss ss}}", "error", "kind", kind_name (error), "message", message));
+  mt_report_json (context, json_pack ("{s{ss ss}}", "error", "kind", get_error_kind (error),
+                                      "message", message));
   return code;
 }
 
--- a/ctl/report.h
+++ b/ctl/report.h
@@ -15,7 +15,8 @@
   GError *parse_error;      /* set if a stored value can't be parsed */
 };
 
-/* Returns false if the platform does not answer. */
+/* Reads the accepted tables from the platform. Returns false with an error if it does not answer.
+ */
 bool mt_accepted_read (const struct mt_store *store, struct mt_accepted *accepted, GError **error);
 void mt_accepted_clear (struct mt_accepted *accepted);
 
