--- a/measure/fleet.c
+++ b/measure/fleet.c
@@ -2,15 +2,15 @@
 
 #include <string.h>
 
-#define MEAN_SHARE    0.25 /* of a pool's slots; a surge to five times it exceeds the pool */
+#define MEAN_SHARE    0.25 /* of a pool's slots; five times this, in a surge, exceeds the pool */
 #define SURGE_FACTOR  5.0
 #define TROUGH_FACTOR 0.05
 #define SURGE_MIN_S   4.0
 #define SURGE_MAX_S   12.0
 #define GAP_MIN_S     1.0
 #define GAP_MAX_S     6.0
-/* One service's load exceeds its pool for minutes. Unlike a surge, it lasts long enough for moves
- * of instances to pay. */
+/* Growth: the load of one service exceeds its pool for minutes. Unlike a surge, it lasts long
+ * enough to make moving instances worthwhile. */
 #define GROWTH_FROM_S  1100.0
 #define GROWTH_TO_S    1400.0
 #define GROWTH_SHARE   1.15
--- a/measure/jobs_scenario.c
+++ b/measure/jobs_scenario.c
@@ -34,7 +34,7 @@
   double remaining_s; /* run time still needed */
   enum mt_urgency urgency;
   int64_t submitted_us;
-  int64_t first_start_us; /* 0: not yet */
+  int64_t first_start_us; /* 0: not started yet */
   bool within_quota;      /* its team was within its quota at the job's submission */
   int worker;             /* -1: not running */
   uint64_t epoch;
@@ -449,8 +449,8 @@
     }
 }
 
-/* The upper bound of utilisation, with divisible work: each pool's workers take as much of the
- * pool's backlog as they can. */
+/* Advances the upper bound of utilisation by one tick. It assumes divisible work: each pool's
+ * workers take as much of the pool's backlog as they can. */
 static void
 advance_bound (struct sim *sim)
 {
@@ -478,13 +478,13 @@
 }
 
 static double
-quantile (GArray *sorted, double q)
+get_quantile (GArray *sorted, double q)
 {
   return sorted->len > 0 ? g_array_index (sorted, double, (guint) (q * (sorted->len - 1))) : 0.0;
 }
 
-/* Delays from submission to first start of the urgent jobs whose team was within its quota, or of
- * those whose team was beyond it. */
+/* Returns the quantiles of the delay from submission to first start, for the urgent jobs whose team
+ * was within its quota at submission, or for those whose team was beyond it. */
 static json_t *
 describe_urgent (const struct sim *sim, bool within_quota)
 {
@@ -505,12 +505,12 @@
     }
   g_array_sort (delays, compare_doubles);
   return json_pack ("{si sf sf sf si}", "started", (int) delays->len, "p50_s",
-                    quantile (delays, 0.5), "p99_s", quantile (delays, 0.99), "worst_s",
-                    quantile (delays, 1.0), "still_waiting", (int) waiting);
+                    get_quantile (delays, 0.5), "p99_s", get_quantile (delays, 0.99), "worst_s",
+                    get_quantile (delays, 1.0), "still_waiting", (int) waiting);
 }
 
 static json_t *
-describe (const struct sim *sim, size_t memory)
+describe_run (const struct sim *sim, size_t memory)
 {
   const struct mt_jobs_scenario *s = sim->scenario;
   double capacity = s->workers * (WORKER_CPU_MILLI / 1000.0) * s->seconds;
@@ -563,7 +563,7 @@
       count_overcommitted (sim);
     }
   *bound = sim->bound_cpu_s / (s->workers * (WORKER_CPU_MILLI / 1000.0) * s->seconds);
-  out = describe (sim, mallinfo2 ().uordblks - before);
+  out = describe_run (sim, mallinfo2 ().uordblks - before);
   destroy_sim (sim);
   return out;
 }
--- a/measure/main.c
+++ b/measure/main.c
@@ -122,7 +122,7 @@
 }
 
 static int
-compare (gconstpointer a, gconstpointer b)
+compare_doubles (gconstpointer a, gconstpointer b)
 {
   double left = *(const double *) a;
   double right = *(const double *) b;
@@ -133,13 +133,13 @@
 static json_t *
 describe_times (GArray *times)
 {
-  g_array_sort (times, compare);
+  g_array_sort (times, compare_doubles);
   return json_pack ("{sf sf}", "median", g_array_index (times, double, times->len / 2), "worst",
                     g_array_index (times, double, times->len - 1));
 }
 
 static json_t *
-describe (const struct sim_result *r)
+describe_result (const struct sim_result *r)
 {
   json_t *broken
       = json_pack ("{sI sI sI sI}", "one_pool", (json_int_t) r->broken_one_pool, "at_most_once",
@@ -168,7 +168,7 @@
   sim_result_init (&result);
   for (unsigned z = 0; z < arguments->deployment->zones; z++)
     sim_run (arguments->deployment, z, arguments->seed, policy, &result);
-  out = describe (&result);
+  out = describe_result (&result);
   if (json_object_size (bound) == 0)
     json_object_set_new (bound, "rollout_wave_s", describe_times (result.wave_bound_s));
   sim_result_clear (&result);
@@ -176,7 +176,7 @@
 }
 
 static json_t *
-run (const struct arguments *arguments)
+run_policies (const struct arguments *arguments)
 {
   json_t *policies = json_object ();
   json_t *bound = json_object ();
@@ -228,7 +228,7 @@
   json_t *root;
 
   argp_parse (&argp, argc, argv, 0, NULL, &arguments);
-  root = arguments.jobs ? run_jobs (&arguments) : run (&arguments);
+  root = arguments.jobs ? run_jobs (&arguments) : run_policies (&arguments);
   if (arguments.json || arguments.jobs)
     {
       json_dumpf (root, stdout, JSON_INDENT (2) | JSON_REAL_PRECISION (6));
--- a/measure/sim.c
+++ b/measure/sim.c
@@ -11,10 +11,10 @@
 #define STEP_US            (100 * MT_MS)
 #define DAEMONS            2
 #define DEADLINE_US        (5 * MT_SECOND)
-#define START_MARGIN_US    (4 * FLEET_SERVICE_US) /* a request with less time left is not started */
+#define START_MARGIN_US    (4 * FLEET_SERVICE_US) /* with less time remaining, no request starts */
 #define REBOOT_US          (60 * MT_SECOND)
 #define LIST_INTERVAL_US   (2 * MT_SECOND)
-#define MAX_WATCH_DELAY_US (200 * MT_MS) /* longest delay from a write to its watch events */
+#define MAX_WATCH_DELAY_US (200 * MT_MS) /* from a write until its watch events arrive */
 #define WAVE_AT_S          400
 #define OUTAGE_AT_S        900
 #define OUTAGE_S           60
@@ -166,7 +166,7 @@
 }
 
 static void
-publish (struct sim *sim, struct mt_assign *next)
+publish_assignment (struct sim *sim, struct mt_assign *next)
 {
   mt_assign_destroy (sim->stored);
   sim->stored = next;
@@ -345,16 +345,16 @@
   for (guint i = 0; i < result->reboots->len; i++)
     reboot_instance (sim, &g_array_index (result->reboots, struct mt_planner_reboot, i));
   if (result->changed)
-    publish (sim, next);
+    publish_assignment (sim, next);
   else
     mt_assign_destroy (next);
   update_wave (sim, &input);
   mt_planner_result_destroy (result);
 }
 
-/* Accepts the edit scheduled for this moment, if any, and records how long it takes to reach the
- * last daemon. Daemons learn of it by their watch; in an outage, a daemon that got it before
- * spreads it by heartbeats, one hop a second. */
+/* Accepts the edit of the tables that is scheduled for this step, if any, and records the time
+ * until the last daemon has it. Daemons receive an edit by their watch. In an outage, a daemon that
+ * received it earlier passes it on by heartbeats, one hop a second. */
 static void
 accept_edits (struct sim *sim)
 {
@@ -386,7 +386,7 @@
 }
 
 static unsigned
-usable_slots (const struct sim *sim, unsigned pool)
+count_usable_slots (const struct sim *sim, unsigned pool)
 {
   unsigned slots = 0;
 
@@ -404,7 +404,7 @@
 add_arrivals (struct sim *sim, unsigned pool)
 {
   double rate = fleet_load_at (sim->load, pool, now_s (sim)) / FLEET_SERVICE_US * STEP_US;
-  unsigned slots = usable_slots (sim, pool);
+  unsigned slots = count_usable_slots (sim, pool);
 
   for (unsigned n = draw_poisson (sim, rate); n > 0; n--)
     {
@@ -480,8 +480,9 @@
     }
 }
 
-/* Adds up idle slots, which count as buffer. In the spare pool only as many instances count as the
- * policy wants to hold there: the rest is free for other work. */
+/* Adds the time of this step to the totals: of all instances, and of idle slots, which count as
+ * buffer. In the spare pool only as many instances count as the policy wants to hold there: the
+ * others are free for other work. */
 static void
 measure_buffer (struct sim *sim)
 {
--- a/measure/sim.h
+++ b/measure/sim.h
@@ -20,7 +20,7 @@
   guint64 refused;
   guint64 late;
   guint64 unknown; /* in flight on an instance that failed */
-  /* Violations of the promises. */
+  /* Number of violations of each guarantee. */
   guint64 broken_one_pool;
   guint64 broken_at_most_once;
   guint64 broken_budget;
