--- a/bench/balance_main.c
+++ b/bench/balance_main.c
@@ -525,8 +525,8 @@
     }
 }
 
-/* Arrivals at their mean rate are served by all healthy slots. Requests that can't be served by
- * their deadline leave the queue. */
+/* Returns the number of useful answers in the fluid model: all healthy slots serve arrivals at
+ * their mean rate. Requests that can't be served by their deadline leave the queue. */
 static double
 compute_bound (const struct scenario *scenario, uint64_t asked)
 {
--- a/bench/bench_gossip.c
+++ b/bench/bench_gossip.c
@@ -20,7 +20,7 @@
 };
 
 static void
-exchange (struct fleet *fleet, unsigned from, unsigned to)
+exchange_heartbeat (struct fleet *fleet, unsigned from, unsigned to)
 {
   size_t request_len;
   size_t len;
@@ -70,7 +70,7 @@
 
       for (size_t k = 0; k < n; k++)
         {
-          exchange (fleet, i, (unsigned) atoi (addresses[k]));
+          exchange_heartbeat (fleet, i, (unsigned) atoi (addresses[k]));
           g_free (addresses[k]);
         }
     }
@@ -95,7 +95,7 @@
       fleet.nodes[i] = mt_membership_create (&options);
     }
   for (unsigned i = 1; i < n; i++)
-    exchange (&fleet, i, 0);
+    exchange_heartbeat (&fleet, i, 0);
   return fleet;
 }
 
@@ -122,7 +122,7 @@
 }
 
 static void
-measure (unsigned n, unsigned zones, unsigned minions, unsigned fan_out)
+measure_fleet (unsigned n, unsigned zones, unsigned minions, unsigned fan_out)
 {
   struct fleet fleet = create_fleet (n, zones, fan_out);
 
@@ -149,8 +149,8 @@
   for (unsigned f = 0; f < G_N_ELEMENTS (fan_outs); f++)
     for (unsigned i = 0; i < G_N_ELEMENTS (sizes); i++)
       {
-        measure (sizes[i], 1, 50, fan_outs[f]);
-        measure (sizes[i], MIN (ZONES, sizes[i]), 450, fan_outs[f]);
+        measure_fleet (sizes[i], 1, 50, fan_outs[f]);
+        measure_fleet (sizes[i], MIN (ZONES, sizes[i]), 450, fan_outs[f]);
       }
   return 0;
 }
--- a/bench/bench_member.c
+++ b/bench/bench_member.c
@@ -17,7 +17,7 @@
 };
 
 static void
-report (void *ctx, struct mt_peers *peers)
+report_generated_loads (void *ctx, struct mt_peers *peers)
 {
   struct shape *shape = ctx;
   struct mt_member_load *loads = g_new0 (struct mt_member_load, shape->minions);
@@ -47,7 +47,7 @@
 }
 
 static const struct mt_peers_callbacks callbacks
-    = { "made-up", "reports generated loads", report, ignore_change };
+    = { "made-up", "reports generated loads", report_generated_loads, ignore_change };
 
 static double
 cpu_s (void)
@@ -66,7 +66,7 @@
 }
 
 static void
-measure (struct mt_peers *peers, const char *name, unsigned warm_s, unsigned measure_s)
+measure_membership (struct mt_peers *peers, const char *name, unsigned warm_s, unsigned measure_s)
 {
   struct mt_peer_traffic before;
   struct mt_peer_traffic after;
@@ -123,7 +123,7 @@
   mt_peer_server_start (options.server);
   printf ("port=%u\n", mt_peer_server_port (options.server));
   fflush (stdout);
-  measure (peers, argv[1], (unsigned) atoi (argv[5]), (unsigned) atoi (argv[6]));
+  measure_membership (peers, argv[1], (unsigned) atoi (argv[5]), (unsigned) atoi (argv[6]));
   sigwait (&signals, &signal_number);
   mt_peer_server_destroy (options.server);
   mt_peers_destroy (peers);
--- a/bench/claims_memory.c
+++ b/bench/claims_memory.c
@@ -33,7 +33,8 @@
         {
           meter->bytes += call.len;
           meter->writes++;
-          /* Not passed to the store, so that its memory is not measured. */
+          /* Counts the write as done without passing it to the store, whose memory would be
+           * measured too. */
           call.put = MT_STORE_DONE;
         }
       else
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -216,7 +216,7 @@
 }
 
 static void
-report (const struct run *run, const struct worker *sum, const int64_t *cpu_before)
+print_report (const struct run *run, const struct worker *sum, const int64_t *cpu_before)
 {
   double seconds = (double) (mt_clock_now (run->clock) - run->start_us) / 1e6;
   json_t *outcomes = json_object ();
@@ -274,7 +274,7 @@
       for (int k = 0; k < N_OUTCOMES; k++)
         sum->counts[k] += workers[i].counts[k];
     }
-  report (run, sum, cpu_before);
+  print_report (run, sum, cpu_before);
   g_free (workers);
   g_free (sum);
 }
--- a/bench/rollout.c
+++ b/bench/rollout.c
@@ -36,8 +36,8 @@
   struct mt_http_client *client;
   const struct mt_store *store;
   FILE **logs;
-  uint64_t *versions; /* by log: version in force */
-  gint64 *times_us;   /* by log: wall-clock time at which it came into force */
+  uint64_t *versions; /* for each log: version in force */
+  gint64 *times_us;   /* for each log: wall-clock time at which that version came into force */
 };
 
 static void
@@ -156,7 +156,7 @@
 }
 
 static int
-compare (gconstpointer a, gconstpointer b)
+compare_doubles (gconstpointer a, gconstpointer b)
 {
   double x = *(const double *) a;
   double y = *(const double *) b;
@@ -169,14 +169,14 @@
 {
   if (times->len == 0)
     return;
-  g_array_sort (times, compare);
+  g_array_sort (times, compare_doubles);
   printf ("%s: median %.1f ms, worst %.1f ms\n", name,
           g_array_index (times, double, times->len / 2),
           g_array_index (times, double, times->len - 1));
 }
 
 static void
-run (struct bench *bench)
+run_changes (struct bench *bench)
 {
   const struct arguments *arguments = &bench->arguments;
   g_autoptr (GArray) sent = g_array_new (FALSE, FALSE, sizeof (double));
@@ -279,7 +279,7 @@
   for (int i = 0; i < bench.arguments.n_logs; i++)
     if ((bench.logs[i] = fopen (bench.arguments.logs[i], "re")) == NULL)
       g_error ("%s can't be read", bench.arguments.logs[i]);
-  run (&bench);
+  run_changes (&bench);
   for (int i = 0; i < bench.arguments.n_logs; i++)
     fclose (bench.logs[i]);
   g_free (bench.logs);
