--- a/daemon/claims.c
+++ b/daemon/claims.c
@@ -250,7 +250,8 @@
   out[1] = hash.high64;
 }
 
-/* Commits the claim by this daemon's own writes; blocks until it is resolved or its deadline. */
+/* Commits the claim by this daemon's own writes. Blocks until the claim is resolved or its deadline
+ * has passed. */
 static void
 claim_locally (struct mt_claims *claims, struct mt_once_request *request)
 {
--- a/daemon/control.c
+++ b/daemon/control.c
@@ -252,7 +252,7 @@
 }
 
 static char *
-unique_id (const struct mt_control *control)
+generate_id (const struct mt_control *control)
 {
   return g_strdup_printf ("%s-%08x%08x", control->options.name, g_random_int (), g_random_int ());
 }
@@ -263,7 +263,7 @@
 static struct mt_assign *
 copy_document (struct mt_control *control, uint64_t *index, bool *draining)
 {
-  g_autofree char *id = unique_id (control);
+  g_autofree char *id = generate_id (control);
   struct mt_assign *empty = mt_assign_create ();
   struct mt_assign *next = NULL;
   const struct mt_assign *held;
--- a/daemon/documents.c
+++ b/daemon/documents.c
@@ -23,7 +23,7 @@
   const struct mt_clock *clock;
   struct slot slots[MAX_DOCUMENTS];
   unsigned n;
-  unsigned turn; /* spreads the fetches over the members that have the document */
+  unsigned rotation; /* spreads the fetches over the members that have the document */
 };
 
 struct search
@@ -98,7 +98,7 @@
 {
   struct search search = { slot->document, slot->document->version (slot->ctx) };
 
-  search.skip = documents->turn++ % 4;
+  search.skip = documents->rotation++ % 4;
   mt_membership_each (membership, visit_reachable, &search);
   if (search.address == NULL)
     mt_membership_each (membership, visit_unreachable, &search);
--- a/daemon/gather.c
+++ b/daemon/gather.c
@@ -11,7 +11,7 @@
 };
 
 static const char *
-intern (struct mt_gather *gather, const char *text)
+intern_name (struct mt_gather *gather, const char *text)
 {
   return g_string_chunk_insert_const (gather->names, text);
 }
@@ -22,8 +22,8 @@
   struct mt_member_load *copy = g_new (struct mt_member_load, n);
 
   for (size_t i = 0; i < n; i++)
-    copy[i]
-        = (struct mt_member_load){ (char *) intern (gather, loads[i].minion), loads[i].in_flight };
+    copy[i] = (struct mt_member_load){ (char *) intern_name (gather, loads[i].minion),
+                                       loads[i].in_flight };
   return copy;
 }
 
@@ -35,7 +35,7 @@
             size_t n)
 {
   struct mt_assign_member member = {
-    .name = intern (gather, name),
+    .name = intern_name (gather, name),
     .version = version,
     .loads = copy_loads (gather, loads, n),
     .n_loads = n,
@@ -47,7 +47,7 @@
 static void
 add_demand (struct mt_gather *gather, const char *pool, double slots)
 {
-  struct mt_capacity_demand demand = { intern (gather, pool), slots };
+  struct mt_capacity_demand demand = { intern_name (gather, pool), slots };
 
   for (guint i = 0; i < gather->demands->len; i++)
     {
--- a/daemon/instances.c
+++ b/daemon/instances.c
@@ -8,7 +8,7 @@
 {
   json_t *root;     /* owns the names */
   GArray *rows;     /* struct mt_planner_instance, sorted by name */
-  GHashTable *gone; /* names */
+  GHashTable *gone; /* names of the instances whose state is "gone" */
 };
 
 static int
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -217,7 +217,7 @@
 }
 
 static char *
-own_address (const struct mt_peers_options *options)
+format_own_address (const struct mt_peers_options *options)
 {
   const char *configured = options->settings->peer_listen.data;
   int host_len = (int) (strrchr (configured, ':') - configured);
@@ -236,7 +236,7 @@
   peers->server = options->server;
   peers->callbacks = options->callbacks;
   peers->ctx = options->ctx;
-  peers->address = own_address (options);
+  peers->address = format_own_address (options);
   peers->zone = g_strdup (settings->zone.data);
   peers->client = mt_peer_client_create (options->clock, settings->name.data);
   peers->documents = mt_documents_create (options->clock);
@@ -298,7 +298,7 @@
   size_t n;
 
   /* Reads the versions before the requests in flight are counted. Otherwise a request that starts
-   * in between would be missing from the loads of a version that the planner takes as confirmed,
+   * in between would be missing from the loads of a version that the planner considers confirmed,
    * and its minion would be rebooted while the request runs. */
   g_mutex_lock (&peers->lock);
   tables = mt_documents_version (peers->documents, MT_PEER_TABLES);
@@ -385,7 +385,7 @@
 static void
 collect_address (void *ctx, const struct mt_member *member)
 {
-  /* A stop must not wait for unreachable members; they learn of it from others. */
+  /* The daemon's stop must not wait for unreachable members; other members inform them. */
   if (member->reach != MT_REACH_NO)
     g_ptr_array_add (ctx, g_strdup (member->address));
 }
--- a/daemon/pools.c
+++ b/daemon/pools.c
@@ -109,7 +109,7 @@
 }
 
 static uint64_t
-random_seed (void)
+generate_seed (void)
 {
   return (uint64_t) g_random_int () << 32 | g_random_int ();
 }
@@ -124,7 +124,7 @@
   pool = g_new0 (struct pool, 1);
   g_mutex_init (&pool->lock);
   pool->epochs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  pool->dispatch = mt_dispatch_create (pools->clock, &wake_waiter, NULL, random_seed ());
+  pool->dispatch = mt_dispatch_create (pools->clock, &wake_waiter, NULL, generate_seed ());
   g_rw_lock_writer_lock (&pools->lock);
   mt_dispatch_set_share (pool->dispatch, pools->share, NULL, NULL);
   g_hash_table_insert (pools->by_name, g_strdup (name), pool);
