--- a/net/http_client.c
+++ b/net/http_client.c
@@ -371,13 +371,13 @@
 }
 
 static enum mt_http_outcome
-exchange (struct mt_http_client *client,
-          struct connection connection,
-          ne_request *request,
-          const struct mt_http_call *call,
-          struct mt_arena *arena,
-          struct mt_http_answer *answer,
-          GError **error)
+run_exchange (struct mt_http_client *client,
+              struct connection connection,
+              ne_request *request,
+              const struct mt_http_call *call,
+              struct mt_arena *arena,
+              struct mt_http_answer *answer,
+              GError **error)
 {
   enum mt_http_outcome outcome = begin_request (connection, request, error);
 
@@ -466,7 +466,7 @@
     ne_add_request_header (request, ID_HEADER, call->id.data);
   if (call->body.len > 0)
     ne_set_request_body_buffer (request, call->body.data, call->body.len);
-  outcome = exchange (client, connection, request, call, arena, answer, error);
+  outcome = run_exchange (client, connection, request, call, arena, answer, error);
   if (outcome == MT_HTTP_COMPLETE)
     outcome = check_request_id (call, answer, error);
   ne_request_destroy (request);
