--- a/ctl/command_explain.c
+++ b/ctl/command_explain.c
@@ -34,7 +34,7 @@
 };
 
 static const char *
-get_text (const json_t *line, const char *name)
+text_of (const json_t *line, const char *name)
 {
   const char *text = json_string_value (json_object_get (line, name));
 
@@ -44,7 +44,7 @@
 static bool
 is_event (const json_t *line, const char *name)
 {
-  return strcmp (get_text (line, "name"), name) == 0;
+  return strcmp (text_of (line, "name"), name) == 0;
 }
 
 static int
@@ -104,8 +104,8 @@
   };
 
   json_array_append (job->job_lines, line);
-  if (get_text (line, "pool")[0] != '\0')
-    job->pool = get_text (line, "pool");
+  if (text_of (line, "pool")[0] != '\0')
+    job->pool = text_of (line, "pool");
   for (size_t i = 0; i < G_N_ELEMENTS (first_events); i++)
     {
       const json_t **first = (const json_t **) (void *) ((char *) job + first_events[i].offset);
@@ -136,7 +136,7 @@
       const json_t *line = job->lines->pdata[i];
       double at = json_number_value (json_object_get (line, "at"));
 
-      if (!is_event (line, "POOL_LOAD") || strcmp (get_text (line, "pool"), job->pool) != 0
+      if (!is_event (line, "POOL_LOAD") || strcmp (text_of (line, "pool"), job->pool) != 0
           || at < from - 1 || at > to + 1)
         continue;
       if (peak == NULL
@@ -169,8 +169,8 @@
 {
   if (job->lost > 0)
     g_string_append_printf (out, "; %u of its tasks were lost with worker %s (%s) and run again",
-                            job->lost, get_text (job->last_loss, "worker"),
-                            get_text (job->last_loss, "why"));
+                            job->lost, text_of (job->last_loss, "worker"),
+                            text_of (job->last_loss, "why"));
   if (job->given_up != NULL)
     g_string_append_printf (
         out,
@@ -195,12 +195,12 @@
 
   if (job->accepted == NULL && job->outcome_unknown != NULL)
     g_string_append_printf (out, "its caller was told that the outcome is unknown: %s",
-                            get_text (job->outcome_unknown, "why"));
+                            text_of (job->outcome_unknown, "why"));
   else if (job->accepted == NULL && job->refused != NULL)
-    g_string_append_printf (out, "refused, it never ran: %s", get_text (job->refused, "why"));
+    g_string_append_printf (out, "refused, it never ran: %s", text_of (job->refused, "why"));
   else if (job->accepted == NULL && job->caller_refused != NULL)
     g_string_append_printf (out, "its caller was refused, nothing was stored: %s",
-                            get_text (job->caller_refused, "why"));
+                            text_of (job->caller_refused, "why"));
   else if (job->accepted == NULL)
     g_string_append (out, "no daemon's log tells of its acceptance");
   else if (job->ended == NULL)
@@ -208,7 +208,7 @@
                                                : "accepted, not begun");
   else
     g_string_append_printf (
-        out, "%s %lld ms after its acceptance", get_text (job->ended, "state"),
+        out, "%s %lld ms after its acceptance", text_of (job->ended, "state"),
         (long long) json_integer_value (json_object_get (job->ended, "age_ms")));
   if (job->accepted != NULL)
     {
@@ -228,7 +228,7 @@
 
   job.lines = read_lines (context->in);
   for (guint i = 0; i < job.lines->len; i++)
-    if (strcmp (get_text (job.lines->pdata[i], "id"), id) == 0)
+    if (strcmp (text_of (job.lines->pdata[i], "id"), id) == 0)
       add_line (&job, job.lines->pdata[i]);
   found = json_array_size (job.job_lines) > 0;
   cause = describe_cause (&job);
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -36,7 +36,7 @@
 {
   const char *name;
   const char *description;
-  const char *argument; /* name of its argument for the help; NULL: takes none */
+  const char *argument; /* name of the argument in the help; NULL: the command takes none */
   int (*run) (const struct mt_command_context *context, const char *argument);
 };
 
