--- a/measure/fleet.c
+++ b/measure/fleet.c
@@ -97,7 +97,7 @@
 }
 
 struct fleet_load *
-fleet_load_create (uint32_t seed, const unsigned *home, double seconds)
+fleet_load_create (uint32_t seed, const unsigned *service_instances, double seconds)
 {
   struct fleet_load *load = g_new0 (struct fleet_load, 1);
   GRand *rand = g_rand_new_with_seed (seed);
@@ -105,7 +105,7 @@
 
   load->surges = g_array_new (FALSE, FALSE, sizeof (struct surge));
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
-    load->mean[s] = home[s] * FLEET_SLOTS * MEAN_SHARE;
+    load->mean[s] = service_instances[s] * FLEET_SLOTS * MEAN_SHARE;
   for (unsigned turn = 0; at_s < seconds; turn++)
     {
       struct surge surge = { .service = turn % FLEET_SERVICES };
--- a/measure/fleet.h
+++ b/measure/fleet.h
@@ -28,8 +28,9 @@
 fleet_tables (const struct fleet_deployment *deployment, uint64_t version, const char *wave);
 
 struct fleet_load;
-/* home: number of instances of each service in the data centre. */
-struct fleet_load *fleet_load_create (uint32_t seed, const unsigned *home, double seconds);
+/* service_instances: number of instances of each service in the data centre. */
+struct fleet_load *
+fleet_load_create (uint32_t seed, const unsigned *service_instances, double seconds);
 void fleet_load_destroy (struct fleet_load *load);
 /* Number of slots that the service's callers would keep busy at this time. */
 double fleet_load_at (const struct fleet_load *load, unsigned service, double at_s);
--- a/measure/jobs_scenario.c
+++ b/measure/jobs_scenario.c
@@ -460,8 +460,8 @@
   for (unsigned i = 0; i < s->pools; i++)
     {
       unsigned workers = s->workers / s->pools + (i < s->workers % s->pools);
-      double most = workers * (WORKER_CPU_MILLI / 1000.0) * dt;
-      double served = MIN (most, sim->backlog_cpu_s[i]);
+      double capacity_cpu_s = workers * (WORKER_CPU_MILLI / 1000.0) * dt;
+      double served = MIN (capacity_cpu_s, sim->backlog_cpu_s[i]);
 
       sim->backlog_cpu_s[i] -= served;
       sim->bound_cpu_s += served;
--- a/measure/main.c
+++ b/measure/main.c
@@ -1,4 +1,4 @@
-/* Runs the core's policies on a deployment's load and prints what each costs. */
+/* Runs the core's policies on a deployment's load and prints the figures of each. */
 #include "jobs_scenario.h"
 #include "sim.h"
 
--- a/measure/sim.c
+++ b/measure/sim.c
@@ -446,8 +446,8 @@
 start_request (
     struct sim *sim, struct instance *instance, unsigned pool, unsigned daemon, int64_t deadline)
 {
-  double takes = -log (1 - g_rand_double (sim->rand)) * FLEET_SERVICE_US;
-  struct work work = { now_us (sim) + (int64_t) takes, pool, daemon };
+  double service_us = -log (1 - g_rand_double (sim->rand)) * FLEET_SERVICE_US;
+  struct work work = { now_us (sim) + (int64_t) service_us, pool, daemon };
 
   for (guint i = 0; i < instance->work->len; i++)
     if (g_array_index (instance->work, struct work, i).pool != pool)
@@ -545,7 +545,7 @@
 }
 
 static void
-build_instances (struct sim *sim, unsigned *home)
+build_instances (struct sim *sim, unsigned *service_instances)
 {
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     for (size_t i = 0; i < sim->tables[0]->pools[s].n_instances; i++)
@@ -555,7 +555,7 @@
         if (strcmp (row->zone.data, sim->zone) != 0)
           continue;
         add_instance (sim, row);
-        home[s]++;
+        service_instances[s]++;
       }
 }
 
@@ -563,14 +563,14 @@
  * budget allows, each takes only the time of a reboot, and nothing proceeds while failures use up
  * the budget. */
 static void
-record_wave_bound (struct sim *sim, const unsigned *home)
+record_wave_bound (struct sim *sim, const unsigned *service_instances)
 {
   double bound = 0;
 
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     {
       unsigned budget = sim->tables[0]->pools[s].max_unavailable;
-      double own = ceil ((double) home[s] / budget) * REBOOT_US / MT_SECOND;
+      double own = ceil ((double) service_instances[s] / budget) * REBOOT_US / MT_SECOND;
 
       bound = MAX (bound, own + sim->blocked_s[s]);
     }
@@ -616,7 +616,7 @@
          struct sim_result *result)
 {
   struct sim sim = { .result = result };
-  unsigned home[FLEET_SERVICES] = { 0 };
+  unsigned service_instances[FLEET_SERVICES] = { 0 };
 
   g_snprintf (sim.zone, sizeof sim.zone, "z%u", zone);
   sim.manual = mt_clock_manual_create (0);
@@ -626,8 +626,8 @@
     sim.tables[e] = fleet_tables (deployment, e + 1, e >= 2 ? "w1" : NULL);
   sim.instances = g_array_new (FALSE, TRUE, sizeof (struct instance));
   sim.platform_list = g_array_new (FALSE, TRUE, sizeof (struct mt_planner_instance));
-  build_instances (&sim, home);
-  sim.load = fleet_load_create (seed * 31 + zone, home, RUN_S);
+  build_instances (&sim, service_instances);
+  sim.load = fleet_load_create (seed * 31 + zone, service_instances, RUN_S);
   sim.capacity = mt_capacity_create (policy);
   sim.stored = mt_assign_create ();
   for (unsigned d = 0; d < DAEMONS; d++)
@@ -638,7 +638,7 @@
       run_step (&sim);
       mt_clock_manual_advance (sim.manual, STEP_US);
     }
-  record_wave_bound (&sim, home);
+  record_wave_bound (&sim, service_instances);
   clear_sim (&sim);
 }
 
--- a/measure/sim.h
+++ b/measure/sim.h
@@ -9,7 +9,7 @@
 /* Totals of all data centres. */
 struct sim_result
 {
-  double instance_s;        /* time of all instances */
+  double instance_s;        /* total time of all instances */
   double buffer_instance_s; /* the part of it held idle as a buffer */
   GArray *table_s;          /* of double: time until the last daemon has an edit of the tables */
   GArray *wave_s;           /* of double: duration of the wave of each data centre */
