--- a/bench/balance_main.c
+++ b/bench/balance_main.c
@@ -1,8 +1,8 @@
 /* Compares the balancing policies on the dispatch of the core, with a manual clock. Six daemons,
- * each with its own dispatch, share ten minions of eight slots and learn of each other's load only
- * by heartbeats. The network and the rest of the daemon are not modelled; a minion is a count of
- * running requests and refuses the ninth. All policies get the same arrivals and service times from
- * one seed.
+ * each with its own dispatch, share ten minions of eight slots and know each other's load only from
+ * heartbeats. The network and the rest of the daemon are not modelled; a minion is modelled as a
+ * count of running requests, and refuses the ninth. All policies get the same arrivals and service
+ * times from one seed.
  *
  * The bound is a fluid model of one queue that always knows all free slots. A policy exceeds it
  * only by chance, since the bound uses mean rates. */
@@ -86,7 +86,7 @@
 struct event
 {
   int64_t at_us;
-  uint64_t order; /* orders events of the same time */
+  uint64_t order; /* order of events with the same time */
   enum kind kind;
   struct request *request;
 };
@@ -126,7 +126,7 @@
 
 /* Returns a random number in (0, 1], by xorshift64. */
 static double
-draw (struct sim *sim)
+draw_uniform (struct sim *sim)
 {
   sim->random ^= sim->random << 13;
   sim->random ^= sim->random >> 7;
@@ -282,7 +282,9 @@
   int daemon;
 
   do
-    daemon = sim->scenario->uneven && draw (sim) < 0.5 ? 0 : (int) (draw (sim) * DAEMONS) % DAEMONS;
+    daemon = sim->scenario->uneven && draw_uniform (sim) < 0.5
+                 ? 0
+                 : (int) (draw_uniform (sim) * DAEMONS) % DAEMONS;
   while (sim->dead[daemon] && now_us (sim) - sim->died_us > BALANCER_TIMEOUT_US);
   return daemon;
 }
@@ -293,7 +295,7 @@
   int64_t now = now_us (sim);
   double rate = MEAN_RATE * sim->scenario->factors[find_part (sim->scenario, now)];
   struct request *request = g_new0 (struct request, 1);
-  int64_t next = now + 1 + (int64_t) (-log (draw (sim)) * 1e6 / rate);
+  int64_t next = now + 1 + (int64_t) (-log (draw_uniform (sim)) * 1e6 / rate);
 
   if (next < scenario_end_us (sim->scenario))
     push_event (sim, next, ARRIVAL, NULL);
@@ -301,9 +303,10 @@
   request->sim = sim;
   request->daemon = choose_daemon (sim);
   request->arrived_us = now;
-  request->service_ms = MIN_SERVICE_MS - (MEAN_SERVICE_MS - MIN_SERVICE_MS) * log (draw (sim));
+  request->service_ms
+      = MIN_SERVICE_MS - (MEAN_SERVICE_MS - MIN_SERVICE_MS) * log (draw_uniform (sim));
   request->ticket.owner = request;
-  request->ticket.audience = (uint64_t) (draw (sim) * AUDIENCES);
+  request->ticket.audience = (uint64_t) (draw_uniform (sim) * AUDIENCES);
   request->ticket.deadline_us = now + DEADLINE_US;
   if (!sim->dead[request->daemon])
     {
--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -11,7 +11,7 @@
 #define DEFAULT_BYTES 1000
 
 static char *
-echo (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
+echo_body (void *ctx, struct mt_str sender, struct mt_str body, size_t *reply_len)
 {
   char *reply = malloc (body.len + 1);
 
@@ -45,7 +45,7 @@
   double cpu;
   unsigned failed = 0;
 
-  mt_peer_server_set_handler (server, MT_PEER_HEARTBEAT, echo, NULL);
+  mt_peer_server_set_handler (server, MT_PEER_HEARTBEAT, echo_body, NULL);
   mt_peer_server_start (server);
   address = g_strdup_printf ("127.0.0.1:%u", mt_peer_server_port (server));
   started = mt_clock_now (clock);
--- a/bench/rollout.c
+++ b/bench/rollout.c
@@ -14,7 +14,7 @@
 
 #define CALL_US           (5 * MT_SECOND)
 #define POLL_US           (2 * MT_MS)
-#define CHANGE_TIMEOUT_US (10 * MT_SECOND) /* a change that takes longer is counted, not timed */
+#define CHANGE_TIMEOUT_US (10 * MT_SECOND) /* slower changes are counted, not timed */
 /* The delay before a change varies, so that some changes arrive while daemons have not yet renewed
  * their watch. */
 #define PHASES   8
