--- a/daemon/gather.c
+++ b/daemon/gather.c
@@ -109,8 +109,8 @@
 void
 mt_gather_mark_gone (struct mt_gather *gather, const struct mt_instances *list)
 {
-  /* Live members are skipped: the list lags behind, so a live member that it has as gone replaced
-   * an instance of the same name. */
+  /* Live members are skipped: the list lags behind, and a live member that is listed as gone has
+   * replaced an instance of the same name. */
   for (guint i = gather->n_live; i < gather->members->len; i++)
     {
       struct mt_assign_member *member
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -216,8 +216,8 @@
   return true;
 }
 
-/* Builds the state: the workers as they are, the jobs that the tables declare, then what the
- * journal records. Reports come last, since they refer to recorded tasks. */
+/* Builds the state from the polled workers, then the jobs that the tables declare, then the
+ * journal's records. The workers' reports come last, since they refer to recorded tasks. */
 static bool
 load_state (struct mt_jobs_runner *runner, GError **error)
 {
--- a/daemon/peers.c
+++ b/daemon/peers.c
@@ -51,7 +51,7 @@
 {
   enum task_kind kind;
   char *address;
-  struct mt_document_fetch fetch; /* of TASK_FETCH */
+  struct mt_document_fetch fetch; /* for TASK_FETCH */
 };
 
 static void
--- a/daemon/registry.c
+++ b/daemon/registry.c
@@ -5,7 +5,7 @@
 
 #define LEASE_S           60
 #define RENEW_INTERVAL_US (20 * MT_SECOND)
-#define RENEWALS_PER_LIST 3 /* renewals per read of the list */
+#define RENEWALS_PER_LIST 3 /* renewals per read of the list of daemons */
 /* Delay after a failed call, plus a random part of the jitter, so that the daemons don't all return
  * at once after an outage. */
 #define RETRY_DELAY_US  (5 * MT_SECOND)
--- a/daemon/view.c
+++ b/daemon/view.c
@@ -23,7 +23,7 @@
   struct mt_tables *tables; /* written under lock, read under urcu */
   struct mt_assign *assign; /* written under lock, read under urcu */
   GMutex notify_lock;       /* serialises the calls of listeners */
-  guint64 in_force;         /* atomic: version of the assignments that all listeners have applied */
+  guint64 in_force;         /* atomic: version of the assignments applied by all listeners */
   gint64 confirmed_us;      /* atomic */
 };
 
