--- a/ctl/command_explain.c
+++ b/ctl/command_explain.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A wait for the first start is named as a cause from this length on; with a shorter one a late job
- * is late because of its run time. */
+/* The wait for a job's first start is named as a cause only if it was at least this long. A job
+ * that waited less and missed its objective did so because of its run time. */
 #define LONG_WAIT_MS 500
 #define MAX_LINES    500000
 
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -27,7 +27,7 @@
   FILE *err;
   const char *onto;             /* --onto VERSION, or NULL */
   const char *const *may_empty; /* data centres named by --empty, NULL-terminated; NULL: none */
-  /* Sleeps for us; a test replaces it. */
+  /* Sleeps for the given number of microseconds; a test replaces it. */
   void (*pause) (void *ctx, int64_t us);
   void *pause_ctx;
 };
@@ -36,7 +36,7 @@
 {
   const char *name;
   const char *description;
-  const char *argument; /* name of its argument for the help; NULL: takes none */
+  const char *argument; /* name of the argument in the help; NULL: the command takes none */
   int (*run) (const struct mt_command_context *context, const char *argument);
 };
 
--- a/daemon/documents.c
+++ b/daemon/documents.c
@@ -23,7 +23,7 @@
   const struct mt_clock *clock;
   struct slot slots[MAX_DOCUMENTS];
   unsigned n;
-  unsigned turn; /* spreads the fetches over the members that have the document */
+  unsigned rotation; /* spreads the fetches over the members that have the document */
 };
 
 struct search
@@ -66,8 +66,8 @@
   return 0;
 }
 
-/* Picks among the live and reachable members. An unreachable one is picked only if no other has a
- * newer version: the partition may be over. */
+/* Picks among the live and reachable members. An unreachable member is picked only if no reachable
+ * one has a newer version: the partition may be over. */
 static void
 visit_reachable (void *ctx, const struct mt_member *member)
 {
@@ -98,7 +98,7 @@
 {
   struct search search = { slot->document, slot->document->version (slot->ctx) };
 
-  search.skip = documents->turn++ % 4;
+  search.skip = documents->rotation++ % 4;
   mt_membership_each (membership, visit_reachable, &search);
   if (search.address == NULL)
     mt_membership_each (membership, visit_unreachable, &search);
--- a/daemon/jobs_runner.c
+++ b/daemon/jobs_runner.c
@@ -174,7 +174,7 @@
     }
 }
 
-/* Counts all declared jobs as removed until declare_job finds their row again. */
+/* Moves all declared jobs to `removed`; declare_job moves those back that still have a row. */
 static void
 assume_removed (struct mt_jobs_runner *runner)
 {
@@ -216,8 +216,8 @@
   return true;
 }
 
-/* Builds the state: the workers as they are, the jobs that the tables declare, then what the
- * journal records. Reports come last, since they refer to recorded tasks. */
+/* Builds the state from the polled workers, then the jobs that the tables declare, then the
+ * journal's records. The workers' reports come last, since they refer to recorded tasks. */
 static bool
 load_state (struct mt_jobs_runner *runner, GError **error)
 {
--- a/measure/sim.c
+++ b/measure/sim.c
@@ -11,10 +11,10 @@
 #define STEP_US            (100 * MT_MS)
 #define DAEMONS            2
 #define DEADLINE_US        (5 * MT_SECOND)
-#define START_MARGIN_US    (4 * FLEET_SERVICE_US) /* a request with less time left is not started */
+#define START_MARGIN_US    (4 * FLEET_SERVICE_US) /* with less time remaining, no request starts */
 #define REBOOT_US          (60 * MT_SECOND)
 #define LIST_INTERVAL_US   (2 * MT_SECOND)
-#define MAX_WATCH_DELAY_US (200 * MT_MS) /* longest delay from a write to its watch events */
+#define MAX_WATCH_DELAY_US (200 * MT_MS) /* from a write until its watch events arrive */
 #define WAVE_AT_S          400
 #define OUTAGE_AT_S        900
 #define OUTAGE_S           60
@@ -166,7 +166,7 @@
 }
 
 static void
-publish (struct sim *sim, struct mt_assign *next)
+publish_assignment (struct sim *sim, struct mt_assign *next)
 {
   mt_assign_destroy (sim->stored);
   sim->stored = next;
@@ -345,16 +345,16 @@
   for (guint i = 0; i < result->reboots->len; i++)
     reboot_instance (sim, &g_array_index (result->reboots, struct mt_planner_reboot, i));
   if (result->changed)
-    publish (sim, next);
+    publish_assignment (sim, next);
   else
     mt_assign_destroy (next);
   update_wave (sim, &input);
   mt_planner_result_destroy (result);
 }
 
-/* Accepts the edit scheduled for this moment, if any, and records how long it takes to reach the
- * last daemon. Daemons learn of it by their watch; in an outage, a daemon that got it before
- * spreads it by heartbeats, one hop a second. */
+/* Accepts the edit of the tables that is scheduled for this step, if any, and records the time
+ * until the last daemon has it. Daemons receive an edit by their watch. In an outage, a daemon that
+ * received it earlier passes it on by heartbeats, one hop a second. */
 static void
 accept_edits (struct sim *sim)
 {
@@ -386,7 +386,7 @@
 }
 
 static unsigned
-usable_slots (const struct sim *sim, unsigned pool)
+count_usable_slots (const struct sim *sim, unsigned pool)
 {
   unsigned slots = 0;
 
@@ -404,7 +404,7 @@
 add_arrivals (struct sim *sim, unsigned pool)
 {
   double rate = fleet_load_at (sim->load, pool, now_s (sim)) / FLEET_SERVICE_US * STEP_US;
-  unsigned slots = usable_slots (sim, pool);
+  unsigned slots = count_usable_slots (sim, pool);
 
   for (unsigned n = draw_poisson (sim, rate); n > 0; n--)
     {
@@ -446,8 +446,8 @@
 start_request (
     struct sim *sim, struct instance *instance, unsigned pool, unsigned daemon, int64_t deadline)
 {
-  double takes = -log (1 - g_rand_double (sim->rand)) * FLEET_SERVICE_US;
-  struct work work = { now_us (sim) + (int64_t) takes, pool, daemon };
+  double service_us = -log (1 - g_rand_double (sim->rand)) * FLEET_SERVICE_US;
+  struct work work = { now_us (sim) + (int64_t) service_us, pool, daemon };
 
   for (guint i = 0; i < instance->work->len; i++)
     if (g_array_index (instance->work, struct work, i).pool != pool)
@@ -480,8 +480,9 @@
     }
 }
 
-/* Adds up idle slots, which count as buffer. In the spare pool only as many instances count as the
- * policy wants to hold there: the rest is free for other work. */
+/* Adds the time of this step to the totals: of all instances, and of idle slots, which count as
+ * buffer. In the spare pool only as many instances count as the policy wants to hold there: the
+ * others are free for other work. */
 static void
 measure_buffer (struct sim *sim)
 {
@@ -544,7 +545,7 @@
 }
 
 static void
-build_instances (struct sim *sim, unsigned *home)
+build_instances (struct sim *sim, unsigned *service_instances)
 {
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     for (size_t i = 0; i < sim->tables[0]->pools[s].n_instances; i++)
@@ -554,7 +555,7 @@
         if (strcmp (row->zone.data, sim->zone) != 0)
           continue;
         add_instance (sim, row);
-        home[s]++;
+        service_instances[s]++;
       }
 }
 
@@ -562,14 +563,14 @@
  * budget allows, each takes only the time of a reboot, and nothing proceeds while failures use up
  * the budget. */
 static void
-record_wave_bound (struct sim *sim, const unsigned *home)
+record_wave_bound (struct sim *sim, const unsigned *service_instances)
 {
   double bound = 0;
 
   for (unsigned s = 0; s < FLEET_SERVICES; s++)
     {
       unsigned budget = sim->tables[0]->pools[s].max_unavailable;
-      double own = ceil ((double) home[s] / budget) * REBOOT_US / MT_SECOND;
+      double own = ceil ((double) service_instances[s] / budget) * REBOOT_US / MT_SECOND;
 
       bound = MAX (bound, own + sim->blocked_s[s]);
     }
@@ -615,7 +616,7 @@
          struct sim_result *result)
 {
   struct sim sim = { .result = result };
-  unsigned home[FLEET_SERVICES] = { 0 };
+  unsigned service_instances[FLEET_SERVICES] = { 0 };
 
   g_snprintf (sim.zone, sizeof sim.zone, "z%u", zone);
   sim.manual = mt_clock_manual_create (0);
@@ -625,8 +626,8 @@
     sim.tables[e] = fleet_tables (deployment, e + 1, e >= 2 ? "w1" : NULL);
   sim.instances = g_array_new (FALSE, TRUE, sizeof (struct instance));
   sim.platform_list = g_array_new (FALSE, TRUE, sizeof (struct mt_planner_instance));
-  build_instances (&sim, home);
-  sim.load = fleet_load_create (seed * 31 + zone, home, RUN_S);
+  build_instances (&sim, service_instances);
+  sim.load = fleet_load_create (seed * 31 + zone, service_instances, RUN_S);
   sim.capacity = mt_capacity_create (policy);
   sim.stored = mt_assign_create ();
   for (unsigned d = 0; d < DAEMONS; d++)
@@ -637,7 +638,7 @@
       run_step (&sim);
       mt_clock_manual_advance (sim.manual, STEP_US);
     }
-  record_wave_bound (&sim, home);
+  record_wave_bound (&sim, service_instances);
   clear_sim (&sim);
 }
 
