--- a/bench/balance_main.c
+++ b/bench/balance_main.c
@@ -609,7 +609,7 @@
       mt_dispatch_submit (dispatch, &ticket, 1);
       mt_dispatch_complete (dispatch, &ticket, MT_DISPATCH_SUCCESS);
     }
-  printf ("%-16s %6u minions %8.0f ns an ask and done\n", policy->name, n,
+  printf ("%-16s %6u minions %8.0f ns per submit and complete\n", policy->name, n,
           (double) (mt_clock_now (mt_clock_system ()) - start_us) * 1e3 / rounds);
   g_free (held);
   mt_dispatch_destroy (dispatch);
--- a/core/jobs/journal.c
+++ b/core/jobs/journal.c
@@ -108,7 +108,7 @@
                    value->len);
       return false;
     }
-  /* An empty batch is the snapshot of a state equal to the declared jobs. */
+  /* The batch of a snapshot is empty if all jobs are as declared: there is nothing to replay. */
   if (is_seal (value) || value->len == HEADER_BYTES)
     return true;
   return mt_jobs_replay (jobs, body_of (value), error);
--- a/core/scheduler/scheduler_internal.h
+++ b/core/scheduler/scheduler_internal.h
@@ -154,7 +154,7 @@
   int64_t answered_at;    /* time of the last answer; 0: none */
   int64_t start_sent_at;  /* when the last start was sent to it; 0: never */
   int64_t listing_at;     /* time of its last listing of runs; 0: none */
-  int64_t silent_since;   /* start of its present silence; 0: it answers */
+  int64_t silent_since;   /* since when the worker has not answered; 0: it answers */
   int64_t fell_silent_at; /* when it last became silent; 0: never */
   bool was_isolating;     /* a suspect was isolated on it at fell_silent_at */
   int64_t clock_ms;       /* last reading of the worker's clock ... */
--- a/core/scheduler/scheduler_watch.c
+++ b/core/scheduler/scheduler_watch.c
@@ -31,10 +31,10 @@
         return;
       bound = MAX_LONG_RUNNING_START_MS;
     }
-  /* Only listings report progress. If listings are lost while orders are answered, the known
-   * progress is old. By it alone a working task would be stopped, and its caller would wait for
-   * another run. So the last listing must have shown the task stalled for the whole bound, less the
-   * time until the next listing. */
+  /* Only listings report progress. If listings are lost while orders are answered, the last known
+   * progress is out of date: a task that makes progress would be stopped, and its caller would wait
+   * for another run. So the last listing must itself have shown no progress for the whole bound,
+   * less MT_HOLD_WAIT_MS, the time until the next listing. */
   if (task->pace < 100 || now - task->progress_at < bound
       || w->listing_at - task->progress_at < bound - MT_HOLD_WAIT_MS)
     return;
--- a/fleet/cluster.c
+++ b/fleet/cluster.c
@@ -485,7 +485,9 @@
       if (mt_leader_may_acquire (&candidacy, now))
         {
           claim_leadership (c, l);
-          return; /* one per tick: the number held counts in the next rank, to spread them */
+          /* At most one leadership per tick: own_rank() counts the leaderships that each member
+           * holds, so the next tick's rank spreads them over the members. */
+          return;
         }
     }
 }
--- a/include/medlartrack/acceptance.h
+++ b/include/medlartrack/acceptance.h
@@ -20,7 +20,7 @@
 
 enum mt_repair
 {
-  MT_REPAIR_DONE,       /* the store has the held document again */
+  MT_REPAIR_DONE,       /* the held document was written back to the store */
   MT_REPAIR_NOT_NEEDED, /* the second read gave no older value: the first one was stale */
   MT_REPAIR_CONFLICT,   /* another write came first; the watch will deliver it */
   MT_REPAIR_FAILED,     /* no answer, or outcome unknown; the watch will deliver the value */
--- a/net/http_exchange.h
+++ b/net/http_exchange.h
@@ -25,8 +25,8 @@
                                                     size_t max_memory_bytes);
 /* Waits for the exchanges that are still running. */
 void mt_http_exchanges_destroy (struct mt_http_exchanges *exchanges);
-/* Like mt_http_client_call, but returns at the call's deadline, then MT_HTTP_UNKNOWN with
- * MT_ERROR_TIMEOUT. The call is copied. */
+/* Like mt_http_client_call, but returns by the call's deadline. If the exchange is not finished by
+ * then, returns MT_HTTP_UNKNOWN with MT_ERROR_TIMEOUT. The call is copied. */
 enum mt_http_outcome mt_http_exchanges_call (struct mt_http_exchanges *exchanges,
                                              const char *address,
                                              const struct mt_http_call *call,
--- a/net/peer_client.c
+++ b/net/peer_client.c
@@ -241,7 +241,7 @@
 reject_reply (const struct call *call, GError **error, GError *cause)
 {
   g_set_error (error, MT_ERROR, MT_ERROR_UNKNOWN, "bad reply from %s: %s", call->address,
-               cause != NULL ? cause->message : "it is of another type; update the older daemon");
+               cause != NULL ? cause->message : "unexpected reply type; update the older daemon");
   g_clear_error (&cause);
   return false;
 }
