--- a/core/control/moves.c
+++ b/core/control/moves.c
@@ -6,7 +6,7 @@
 #define MOVES_PER_STEP 4
 
 static double
-demand_of (const struct mt_planner_input *input, const char *pool)
+find_demand_slots (const struct mt_planner_input *input, const char *pool)
 {
   for (size_t i = 0; i < input->n_demands; i++)
     if (strcmp (input->demands[i].pool, pool) == 0)
@@ -25,7 +25,7 @@
     {
       const struct mt_assign_record *record = &plan->next->records[i];
 
-      if (mt_planner_is_down (plan->input, record->instance))
+      if (mt_planner_instance_is_down (plan->input, record->instance))
         continue;
       if (record->state == MT_ASSIGN_SERVING && strcmp (record->pool, pool) == 0)
         count++;
@@ -70,7 +70,7 @@
     }
   pool->min_serving = row->min_instances + (wave_waits (plan, row->name.data) ? 1 : 0);
   pool->serving = count_serving (plan, row->name.data);
-  pool->demand_slots = demand_of (plan->input, row->name.data);
+  pool->demand_slots = find_demand_slots (plan->input, row->name.data);
   pool->can_release = mt_planner_may_drain (plan, row->name.data);
 }
 
@@ -97,7 +97,7 @@
       struct mt_assign_record *record = &plan->next->records[i];
 
       if (record->state != MT_ASSIGN_SERVING || strcmp (record->pool, pool) != 0
-          || mt_planner_is_down (plan->input, record->instance))
+          || mt_planner_instance_is_down (plan->input, record->instance))
         continue;
       if (strcmp (record->home, target) == 0)
         return record;
--- a/core/control/planner.c
+++ b/core/control/planner.c
@@ -67,7 +67,7 @@
 }
 
 bool
-mt_planner_is_down (const struct mt_planner_input *input, const char *name)
+mt_planner_instance_is_down (const struct mt_planner_input *input, const char *name)
 {
   const struct mt_planner_instance *listed = mt_planner_find_instance (input, name);
 
@@ -103,7 +103,8 @@
   /* An instance that the operator took out is no longer part of the service. */
   if (record->state == MT_ASSIGN_OUT && (record->leave_causes & MT_LEAVE_TABLES) != 0)
     return false;
-  return record->state != MT_ASSIGN_SERVING || mt_planner_is_down (input, record->instance);
+  return record->state != MT_ASSIGN_SERVING
+         || mt_planner_instance_is_down (input, record->instance);
 }
 
 unsigned
@@ -136,7 +137,7 @@
       const struct mt_assign_record *record = &plan->next->records[i];
 
       if (record->state == MT_ASSIGN_SERVING && strcmp (record->pool, pool) == 0
-          && !mt_planner_is_down (plan->input, record->instance))
+          && !mt_planner_instance_is_down (plan->input, record->instance))
         count++;
     }
   return count;
--- a/core/control/planner_internal.h
+++ b/core/control/planner_internal.h
@@ -26,7 +26,7 @@
 void mt_planner_report (struct mt_plan *plan, const char *format, ...) G_GNUC_PRINTF (2, 3);
 const struct mt_planner_instance *mt_planner_find_instance (const struct mt_planner_input *input,
                                                             const char *name);
-bool mt_planner_is_down (const struct mt_planner_input *input, const char *name);
+bool mt_planner_instance_is_down (const struct mt_planner_input *input, const char *name);
 const struct mt_pool *mt_planner_find_pool (const struct mt_plan *plan, const char *name);
 /* Returns NULL if the tables have no such instance in the data centre. */
 const struct mt_plan_row *mt_planner_find_row (const struct mt_plan *plan, const char *instance);
--- a/core/control/waves.c
+++ b/core/control/waves.c
@@ -55,7 +55,7 @@
       else if (record->state == MT_ASSIGN_SERVING)
         {
           wave->waiting++;
-          if (mt_planner_is_down (plan->input, record->instance))
+          if (mt_planner_instance_is_down (plan->input, record->instance))
             wave->down++;
         }
     }
@@ -100,7 +100,8 @@
       struct mt_assign_record *record = &plan->next->records[i];
 
       if (record->wave_state != MT_WAVE_WAITING || record->state != MT_ASSIGN_SERVING
-          || !belongs_to_wave (wave, record) || mt_planner_is_down (plan->input, record->instance))
+          || !belongs_to_wave (wave, record)
+          || mt_planner_instance_is_down (plan->input, record->instance))
         continue;
       if (best != NULL
           && !comes_before (wave, rack_of (plan, record->instance), rack_of (plan, best->instance)))
