--- a/core/jobs/plan.c
+++ b/core/jobs/plan.c
@@ -378,7 +378,7 @@
 
   g_free (job->reason);
   job->reason = g_strdup_printf ("needs %u thousandths of a processor, %u MB and %u accelerators; "
-                                 "no worker of pool %s has these resources",
+                                 "no worker of pool %s has that",
                                  need.cpu_milli, need.memory_mb, need.accelerators, job->pool);
   job->checked_generation = jobs->generation;
   release_reservation (jobs, job);
